--- a/core/src/main/java/org/tanagerhinge/core/router/AgentLinks.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/AgentLinks.java
@@ -17,13 +17,13 @@
  */
 final class AgentLinks {
     /** How long an agent that was linked on demand may go unused. */
-    private static final Duration DEMAND_LINK_IDLE = Duration.ofMinutes(1);
+    private static final Duration ON_DEMAND_LINK_IDLE_TIMEOUT = Duration.ofMinutes(1);
 
     private final ServerTable servers;
     private final RouterPort port;
-    private final Duration heartbeat;
+    private final Duration heartbeatInterval;
     private final Predicate<ServerId> inUse;
-    private final Consumer<ServerId> lost;
+    private final Consumer<ServerId> onUnlink;
     private ClusterConfig config = ClusterConfig.EMPTY;
 
     /**
@@ -36,21 +36,21 @@
     AgentLinks(
             ServerTable servers,
             RouterPort port,
-            Duration heartbeat,
+            Duration heartbeatInterval,
             Predicate<ServerId> inUse,
-            Consumer<ServerId> lost) {
+            Consumer<ServerId> onUnlink) {
         this.servers = servers;
         this.port = port;
-        this.heartbeat = heartbeat;
+        this.heartbeatInterval = heartbeatInterval;
         this.inUse = inUse;
-        this.lost = lost;
+        this.onUnlink = onUnlink;
     }
 
     /** Takes a configuration; links follow it if its server list has changed. */
-    void config(ClusterConfig next, boolean serversChanged) {
+    void applyConfig(ClusterConfig next, boolean serversChanged) {
         config = next;
         if (serversChanged) {
-            relink();
+            updateLinks();
         }
     }
 
@@ -59,45 +59,45 @@
     }
 
     /** Links an agent outside the subset, if the configuration knows it. */
-    void demand(ServerId id, Instant now) {
+    void linkOnDemand(ServerId id, Instant now) {
         if (servers.find(id).isEmpty()) {
             config.servers().server(id).ifPresent(server -> {
                 servers.add(server);
                 port.link(server);
             });
         }
-        servers.find(id).ifPresent(view -> view.lastUsed(now));
+        servers.find(id).ifPresent(view -> view.lastUsedAt(now));
     }
 
     /** Tells all linked agents which configuration this router has. */
-    void tellRevision() {
-        Frame.Heartbeat news = new Frame.Heartbeat(config.revision());
+    void broadcastRevision() {
+        Frame.Heartbeat heartbeat = new Frame.Heartbeat(config.revision());
         for (ServerView view : List.copyOf(servers.all())) {
             if (view.linked()) {
-                port.send(view.server().id(), news);
+                port.send(view.server().id(), heartbeat);
             }
         }
     }
 
     /** Shows a sign of life on links that were silent, and gives up those on demand that went unused. */
     void tick(Instant now) {
-        heartbeats(now);
-        closeIdle(now);
+        sendHeartbeats(now);
+        closeIdleLinks(now);
     }
 
-    private void relink() {
-        Set<ServerId> wanted = servers.wanted(config.servers());
+    private void updateLinks() {
+        Set<ServerId> subset = servers.connectionSubset(config.servers());
         for (ServerView view : List.copyOf(servers.all())) {
             ServerId id = view.server().id();
             Optional<BackendServer> listed = config.servers().server(id);
-            boolean moved = listed.isEmpty()
+            boolean addressChanged = listed.isEmpty()
                     || !listed.get().agentAddress().equals(view.server().agentAddress());
             listed.ifPresent(view::server);
-            if (moved || (!wanted.contains(id) && !inUse.test(id))) {
+            if (addressChanged || (!subset.contains(id) && !inUse.test(id))) {
                 unlink(id);
             }
         }
-        for (ServerId id : wanted) {
+        for (ServerId id : subset) {
             if (servers.find(id).isEmpty()) {
                 BackendServer server = config.servers().server(id).orElseThrow();
                 servers.add(server);
@@ -107,32 +107,32 @@
     }
 
     private void unlink(ServerId id) {
-        lost.accept(id);
+        onUnlink.accept(id);
         servers.remove(id);
         port.unlink(id);
     }
 
-    private void heartbeats(Instant now) {
+    private void sendHeartbeats(Instant now) {
         for (ServerView view : servers.all()) {
-            boolean due = view.lastSent().equals(Instant.MIN)
-                    || !view.lastSent().plus(heartbeat).isAfter(now);
+            boolean due = view.lastHeartbeatAt().equals(Instant.MIN)
+                    || !view.lastHeartbeatAt().plus(heartbeatInterval).isAfter(now);
             if (view.linked() && due) {
-                view.lastSent(now);
+                view.lastHeartbeatAt(now);
                 port.send(view.server().id(), new Frame.Heartbeat(config.revision()));
             }
         }
     }
 
-    private void closeIdle(Instant now) {
-        Set<ServerId> wanted = servers.all().isEmpty() ? Set.of() : null;
+    private void closeIdleLinks(Instant now) {
+        Set<ServerId> subset = servers.all().isEmpty() ? Set.of() : null;
         for (ServerView view : List.copyOf(servers.all())) {
             ServerId id = view.server().id();
-            boolean idle = !view.lastUsed().equals(Instant.MIN)
-                    && view.lastUsed().plus(DEMAND_LINK_IDLE).isBefore(now);
+            boolean idle = !view.lastUsedAt().equals(Instant.MIN)
+                    && view.lastUsedAt().plus(ON_DEMAND_LINK_IDLE_TIMEOUT).isBefore(now);
             if (idle) {
-                wanted = wanted == null ? servers.wanted(config.servers()) : wanted;
-                view.lastUsed(now);
-                if (!wanted.contains(id) && !inUse.test(id)) {
+                subset = subset == null ? servers.connectionSubset(config.servers()) : subset;
+                view.lastUsedAt(now);
+                if (!subset.contains(id) && !inUse.test(id)) {
                     unlink(id);
                 }
             }
--- a/core/src/main/java/org/tanagerhinge/core/router/Exchange.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/Exchange.java
@@ -27,58 +27,58 @@
     private static final StateChart<ExchangeState, ExchangeEvent> CHART =
             StateChart.load("exchange", ExchangeState.class, ExchangeEvent.class);
 
-    private final Arrival arrival;
+    private final IncomingRequest request;
     private final Workspace workspace;
     private final Profile profile;
     private final TargetName target;
-    private final Instant arrived;
+    private final Instant arrivedAt;
     private final long expectedUnits;
     private final Machine<ExchangeState, ExchangeEvent> machine = CHART.start();
     private final AttemptHistory history;
-    private final Set<ServerId> tried = new HashSet<>();
+    private final Set<ServerId> triedServers = new HashSet<>();
     private final ByteArrayOutputStream delivered = new ByteArrayOutputStream();
 
-    private long attempt;
+    private long attemptNumber;
     private ServerId server;
     private long serverIncarnation;
     private long generation;
     private ClaimEntry claim;
-    private ClaimEntry followed;
+    private ClaimEntry followedClaim;
     private long claimSequence;
     private Instant waitingSince;
-    private Instant lastAsked = Instant.MIN;
+    private Instant lastQueriedAt = Instant.MIN;
     private long deliveredUnits;
     private long uncreditedUnits;
     private boolean headSent;
-    private boolean fateOpen;
+    private boolean attemptUnresolved;
     private boolean attached;
-    private Instant firstOutput;
-    private Instant lastProgress;
+    private Instant firstOutputAt;
+    private Instant lastProgressAt;
     private Refusal lastRefusal;
 
     Exchange(
-            Arrival arrival,
+            IncomingRequest request,
             Workspace workspace,
             Profile profile,
             TargetName target,
-            Instant arrived,
+            Instant arrivedAt,
             long expectedUnits,
             AttemptHistory history) {
-        this.arrival = arrival;
+        this.request = request;
         this.workspace = workspace;
         this.profile = profile;
         this.target = target;
-        this.arrived = arrived;
+        this.arrivedAt = arrivedAt;
         this.expectedUnits = expectedUnits;
         this.history = history;
     }
 
     RequestId id() {
-        return arrival.id();
+        return request.id();
     }
 
-    Arrival arrival() {
-        return arrival;
+    IncomingRequest request() {
+        return request;
     }
 
     Workspace workspace() {
@@ -99,12 +99,12 @@
 
     /** Returns whether the caller may repeat this non-idempotent request under its own key. */
     boolean keyed() {
-        return !idempotent() && arrival.idempotencyKey().isPresent();
+        return !idempotent() && request.idempotencyKey().isPresent();
     }
 
     /** Returns the digest under which a non-idempotent request runs; one without a key gets its own. */
-    KeyDigest digest() {
-        String key = arrival.idempotencyKey().map(text -> "key " + text).orElseGet(() -> "request " + arrival.id());
+    KeyDigest keyDigest() {
+        String key = request.idempotencyKey().map(text -> "key " + text).orElseGet(() -> "request " + request.id());
         return KeyDigest.of(workspace.id(), target, key);
     }
 
@@ -114,16 +114,16 @@
                 profile.name(),
                 ClassTerms.of(profile, workspace),
                 target,
-                arrival.call(),
-                arrival.promptUnits());
+                request.call(),
+                request.promptUnits());
     }
 
-    Instant arrived() {
-        return arrived;
+    Instant arrivedAt() {
+        return arrivedAt;
     }
 
     Duration timeLeft(Instant now) {
-        return profile.deadline().minus(Duration.between(arrived, now));
+        return profile.deadline().minus(Duration.between(arrivedAt, now));
     }
 
     long expectedUnits() {
@@ -138,15 +138,15 @@
         return machine.in(state);
     }
 
-    Set<ServerId> tried() {
-        return tried;
+    Set<ServerId> triedServers() {
+        return triedServers;
     }
 
-    long attempt() {
-        return attempt;
+    long attemptNumber() {
+        return attemptNumber;
     }
 
-    int attempts() {
+    int attemptCount() {
         return history.sends();
     }
 
@@ -155,10 +155,10 @@
     }
 
     /** The attempt came back as not run. */
-    void returned(Refusal refusal) {
+    void attemptNotRun(Refusal refusal) {
         history.ended(false);
-        fateOpen = false;
-        tried.add(server);
+        attemptUnresolved = false;
+        triedServers.add(server);
         lastRefusal = refusal;
     }
 
@@ -175,16 +175,16 @@
     }
 
     /** Notes the agent that the next attempt goes to. */
-    void chosen(ServerId next, long incarnation) {
-        server = next;
+    void assignServer(ServerId nextServer, long incarnation) {
+        server = nextServer;
         serverIncarnation = incarnation;
     }
 
-    void attemptMade(long number, Instant now) {
-        attempt = number;
+    void attemptSent(long number, Instant now) {
+        attemptNumber = number;
         history.sent();
-        fateOpen = true;
-        lastProgress = now;
+        attemptUnresolved = true;
+        lastProgressAt = now;
         waitingSince = null;
     }
 
@@ -196,11 +196,11 @@
         if (claim != null) {
             return Optional.of(claim.execution());
         }
-        return Optional.of(Execution.of(digest(), generation));
+        return Optional.of(Execution.of(keyDigest(), generation));
     }
 
     /** Passes to the next generation of a request that has no claim. */
-    void nextGeneration() {
+    void advanceGeneration() {
         generation++;
     }
 
@@ -208,23 +208,23 @@
         return Optional.ofNullable(claim);
     }
 
-    void claim(ClaimEntry granted) {
-        claim = granted;
+    void claim(ClaimEntry grantedClaim) {
+        claim = grantedClaim;
     }
 
     /** Returns the entry of the call that holds this request's key, when it is another one. */
-    Optional<ClaimEntry> followed() {
-        return Optional.ofNullable(followed);
+    Optional<ClaimEntry> followedClaim() {
+        return Optional.ofNullable(followedClaim);
     }
 
-    void followed(ClaimEntry entry) {
-        followed = entry;
+    void followedClaim(ClaimEntry entry) {
+        followedClaim = entry;
     }
 
     /** Returns the generation that the next claim has to replace. */
     long expectedGeneration() {
-        if (followed != null) {
-            return followed.generation();
+        if (followedClaim != null) {
+            return followedClaim.generation();
         }
         return claim == null ? 0 : claim.generation();
     }
@@ -255,37 +255,37 @@
     }
 
     /** Counts the wait from an earlier moment, though another attempt was made since. */
-    void keepWaiting(Instant since) {
-        waitingSince = since;
+    void restoreWaitingSince(Instant earlier) {
+        waitingSince = earlier;
     }
 
     /** The attempt failed or is out of reach for good, and may have run. */
-    void attemptLost() {
+    void attemptMayHaveRun() {
         history.ended(true);
-        fateOpen = false;
+        attemptUnresolved = false;
     }
 
     /** The attempt in doubt turned out not to have run. */
-    void settledAsNotRun() {
-        fateOpen = false;
+    void confirmNotRun() {
+        attemptUnresolved = false;
     }
 
     /** Returns whether an attempt is out whose fate is not known. */
-    boolean fateOpen() {
-        return fateOpen;
+    boolean attemptUnresolved() {
+        return attemptUnresolved;
     }
 
     /** Returns whether any attempt may have run, in part or whole. */
     boolean mayHaveRun() {
-        return fateOpen || history.mayHaveRun() || anythingDelivered();
+        return attemptUnresolved || history.mayHaveRun() || anythingDelivered();
     }
 
-    Instant lastAsked() {
-        return lastAsked;
+    Instant lastQueriedAt() {
+        return lastQueriedAt;
     }
 
-    void lastAsked(Instant now) {
-        lastAsked = now;
+    void lastQueriedAt(Instant at) {
+        lastQueriedAt = at;
     }
 
     long deliveredUnits() {
@@ -294,9 +294,9 @@
 
     void delivered(long units, byte[] data, Instant now) {
         deliveredUnits += units;
-        lastProgress = now;
-        if (firstOutput == null) {
-            firstOutput = now;
+        lastProgressAt = now;
+        if (firstOutputAt == null) {
+            firstOutputAt = now;
         }
         if (idempotent()) {
             delivered.writeBytes(data);
@@ -309,9 +309,9 @@
     }
 
     /** Adds units that the caller took, and returns them once they are worth a message. */
-    long creditDue(long units, long worth) {
+    long creditDue(long units, long minUnits) {
         uncreditedUnits += units;
-        if (uncreditedUnits < worth) {
+        if (uncreditedUnits < minUnits) {
             return 0;
         }
         long due = uncreditedUnits;
@@ -325,9 +325,9 @@
 
     void headSent(Instant now) {
         headSent = true;
-        lastProgress = now;
-        if (firstOutput == null) {
-            firstOutput = now;
+        lastProgressAt = now;
+        if (firstOutputAt == null) {
+            firstOutputAt = now;
         }
     }
 
@@ -336,16 +336,16 @@
         return headSent || deliveredUnits > 0;
     }
 
-    Optional<Instant> firstOutput() {
-        return Optional.ofNullable(firstOutput);
+    Optional<Instant> firstOutputAt() {
+        return Optional.ofNullable(firstOutputAt);
     }
 
-    Instant lastProgress() {
-        return lastProgress;
+    Instant lastProgressAt() {
+        return lastProgressAt;
     }
 
-    void progressed(Instant now) {
-        lastProgress = now;
+    void recordProgress(Instant now) {
+        lastProgressAt = now;
     }
 
     @Override
--- a/core/src/main/java/org/tanagerhinge/core/router/Outcome.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ExchangeOutcome.java
@@ -13,13 +13,13 @@
  * @param firstOutput time from arrival to the first output; zero if there was none
  * @param attempts how many attempts were made
  */
-public record Outcome(
+public record ExchangeOutcome(
         RequestId request,
         WorkspaceId workspace,
         ProfileName profile,
         ResultCode code,
-        RunState run,
-        Duration firstOutput,
-        Duration whole,
+        RunState runState,
+        Duration timeToFirstOutput,
+        Duration totalTime,
         long units,
-        int attempts) {}
+        int attemptCount) {}
--- a/core/src/main/java/org/tanagerhinge/core/router/ExchangeBook.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ExchangeRegistry.java
@@ -10,7 +10,7 @@
 import org.tanagerhinge.core.id.ServerId;
 
 /** The exchanges in progress at a router, by request, by attempt and by claim. */
-final class ExchangeBook {
+final class ExchangeRegistry {
     private final Map<RequestId, Exchange> exchanges = new LinkedHashMap<>();
     private final Map<Long, Exchange> byAttempt = new HashMap<>();
     private final Map<Long, Exchange> byClaim = new HashMap<>();
@@ -25,11 +25,11 @@
     }
 
     /** Returns the exchange of a request, or null. */
-    Exchange find(RequestId request) {
-        return exchanges.get(request);
+    Exchange find(RequestId id) {
+        return exchanges.get(id);
     }
 
-    boolean holds(Exchange exchange) {
+    boolean contains(Exchange exchange) {
         return exchanges.containsKey(exchange.id());
     }
 
@@ -39,24 +39,24 @@
     }
 
     /** Gives an exchange the number of a new attempt, and forgets the one before. */
-    void newAttempt(Exchange exchange, Instant now) {
+    void startAttempt(Exchange exchange, Instant now) {
         forgetAttempt(exchange);
-        exchange.attemptMade(nextNumber++, now);
-        byAttempt.put(exchange.attempt(), exchange);
+        exchange.attemptSent(nextNumber++, now);
+        byAttempt.put(exchange.attemptNumber(), exchange);
     }
 
     /** From now on messages about the newest attempt of an exchange come late. */
     void forgetAttempt(Exchange exchange) {
-        byAttempt.remove(exchange.attempt());
+        byAttempt.remove(exchange.attemptNumber());
     }
 
     /** Returns the exchange that an attempt belongs to, if it is its newest and is at that server. */
-    Optional<Exchange> ofAttempt(long attempt, ServerId server) {
+    Optional<Exchange> findByAttempt(long attempt, ServerId server) {
         return Optional.ofNullable(byAttempt.get(attempt)).filter(exchange -> server.equals(exchange.server()));
     }
 
     /** Gives an exchange the number of a new claim, and forgets the one before. */
-    void newClaim(Exchange exchange) {
+    void startClaim(Exchange exchange) {
         forgetClaim(exchange);
         exchange.claimSequence(nextNumber++);
         byClaim.put(exchange.claimSequence(), exchange);
@@ -67,7 +67,7 @@
     }
 
     /** Returns the exchange that waits for a claim, if one does. */
-    Optional<Exchange> ofClaim(long sequence) {
+    Optional<Exchange> findByClaim(long sequence) {
         return Optional.ofNullable(byClaim.get(sequence));
     }
 
--- a/core/src/main/java/org/tanagerhinge/core/router/KeyClaims.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/IdempotencyClaims.java
@@ -14,23 +14,23 @@
  * Sees to it that a non-idempotent request with its caller's key runs once, whichever router it comes through: claims the
  * key, follows another call that holds it, and asks the agent of an attempt in doubt what became of it.
  */
-final class KeyClaims {
+final class IdempotencyClaims {
     private final RouterCore core;
-    private final ExchangeBook book;
+    private final ExchangeRegistry exchanges;
     private final AgentLinks links;
     private final RouterPort port;
     private final RouterOptions options;
     private final InstantSource clock;
 
-    KeyClaims(
+    IdempotencyClaims(
             RouterCore core,
-            ExchangeBook book,
+            ExchangeRegistry exchanges,
             AgentLinks links,
             RouterPort port,
             RouterOptions options,
             InstantSource clock) {
         this.core = core;
-        this.book = book;
+        this.exchanges = exchanges;
         this.links = links;
         this.port = port;
         this.options = options;
@@ -38,23 +38,23 @@
     }
 
     /** Asks the store for the claim under which an exchange may run; asked again, it is the same claim. */
-    void ask(Exchange exchange) {
+    void requestClaim(Exchange exchange) {
         exchange.machine().fire(ExchangeEvent.CLAIM);
-        Instant since = exchange.waitingSince(now());
-        if (!since.plus(options.claimPatience()).isAfter(now())) {
+        Instant waitingSince = exchange.waitingSince(now());
+        if (!waitingSince.plus(options.claimTimeout()).isAfter(now())) {
             core.refuse(
                     exchange,
                     Refusal.notRun(
                             ResultCode.CLAIMS_UNSETTLED,
-                            RouterCore.COME_BACK,
+                            RouterCore.DEFAULT_RETRY_AFTER,
                             "whether the key was used before cannot be told yet; this call ran nothing"));
             return;
         }
-        exchange.lastAsked(now());
-        book.newClaim(exchange);
+        exchange.lastQueriedAt(now());
+        exchanges.startClaim(exchange);
         ClaimEntry wanted = ClaimEntry.wanted(
-                exchange.digest(),
-                exchange.arrival().bodyDigest(),
+                exchange.keyDigest(),
+                exchange.request().bodyDigest(),
                 exchange.server(),
                 exchange.serverIncarnation(),
                 exchange.id());
@@ -62,43 +62,44 @@
     }
 
     /** The platform's store has decided a claim, or did not answer. */
-    void decided(long sequence, ClaimDecision decision) {
-        Optional<Exchange> found = book.ofClaim(sequence).filter(exchange -> exchange.in(ExchangeState.CLAIMING));
+    void onDecision(long sequence, ClaimDecision decision) {
+        Optional<Exchange> found =
+                exchanges.findByClaim(sequence).filter(exchange -> exchange.in(ExchangeState.CLAIMING));
         if (found.isEmpty()) {
             return;
         }
         Exchange exchange = found.get();
         switch (decision) {
-            case ClaimDecision.Granted granted -> granted(exchange, granted.entry());
-            case ClaimDecision.Held held -> follow(exchange, held.entry());
-            case ClaimDecision.Unsettled unsettled -> port.count("claim_unsettled");
+            case ClaimDecision.Granted granted -> onGranted(exchange, granted.entry());
+            case ClaimDecision.Held held -> followHolder(exchange, held.entry());
+            case ClaimDecision.Unsettled unsettled -> port.countDecision("claim_unsettled");
         }
     }
 
-    private void granted(Exchange exchange, ClaimEntry entry) {
-        book.forgetClaim(exchange);
-        exchange.claim(entry);
-        exchange.followed(null);
+    private void onGranted(Exchange exchange, ClaimEntry claim) {
+        exchanges.forgetClaim(exchange);
+        exchange.claim(claim);
+        exchange.followedClaim(null);
         if (links.isLinked(exchange.server())) {
             core.submit(exchange);
         } else {
             exchange.machine().fire(ExchangeEvent.RETURN);
-            core.choose(exchange);
+            core.dispatch(exchange);
         }
     }
 
     /** Another call holds the key: whatever became of it is this caller's answer too. */
-    private void follow(Exchange exchange, ClaimEntry entry) {
-        book.forgetClaim(exchange);
-        if (!entry.body().equals(exchange.arrival().bodyDigest())) {
+    private void followHolder(Exchange exchange, ClaimEntry claim) {
+        exchanges.forgetClaim(exchange);
+        if (!claim.body().equals(exchange.request().bodyDigest())) {
             core.refuse(exchange, Refusal.notRun(ResultCode.KEY_REUSED, "the key was used before with another body"));
             return;
         }
-        port.count("claim_followed");
-        exchange.followed(entry);
+        port.countDecision("claim_followed");
+        exchange.followedClaim(claim);
         exchange.claim(null);
         exchange.attached(false);
-        exchange.chosen(entry.executor(), entry.executorIncarnation());
+        exchange.assignServer(claim.executor(), claim.executorIncarnation());
         exchange.machine().fire(ExchangeEvent.DOUBT);
         attach(exchange);
     }
@@ -106,19 +107,20 @@
     /** Asks the agent that was given a non-idempotent request what became of it. */
     void attach(Exchange exchange) {
         exchange.waitingSince(now());
-        exchange.lastAsked(now());
-        links.demand(exchange.server(), now());
+        exchange.lastQueriedAt(now());
+        links.linkOnDemand(exchange.server(), now());
         if (exchange.attached() || !links.isLinked(exchange.server())) {
             return;
         }
-        Execution execution = exchange.followed()
+        Execution execution = exchange.followedClaim()
                 .map(ClaimEntry::execution)
                 .orElseGet(() -> exchange.execution().orElseThrow());
-        Instant since = exchange.waitingSince(now());
-        book.newAttempt(exchange, now());
-        exchange.keepWaiting(since);
+        Instant waitingSince = exchange.waitingSince(now());
+        exchanges.startAttempt(exchange, now());
+        exchange.restoreWaitingSince(waitingSince);
         exchange.attached(true);
-        port.send(exchange.server(), new Frame.Attach(exchange.attempt(), execution, exchange.serverIncarnation()));
+        port.send(
+                exchange.server(), new Frame.Attach(exchange.attemptNumber(), execution, exchange.serverIncarnation()));
     }
 
     private Instant now() {
--- a/core/src/main/java/org/tanagerhinge/core/router/Arrival.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/IncomingRequest.java
@@ -16,7 +16,7 @@
  * @param promptUnits estimated prompt size in tokens; zero for a plain service
  * @param affinity names the prompt prefix, so that requests sharing it can go to the same engine
  */
-public record Arrival(
+public record IncomingRequest(
         RequestId id,
         String keyHash,
         String profile,
--- a/core/src/main/java/org/tanagerhinge/core/router/RouterCore.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RouterCore.java
@@ -38,55 +38,55 @@
  * daemon, in the random runs and in the benchmark.
  */
 public final class RouterCore {
-    static final Duration ASK_AGAIN = Duration.ofMillis(200);
-    static final Duration COME_BACK = Duration.ofSeconds(1);
-    private static final long MODEL_CREDIT_WORTH = 64;
-    private static final long SERVICE_CREDIT_WORTH = 64 * 1024;
+    static final Duration QUERY_RETRY_INTERVAL = Duration.ofMillis(200);
+    static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
+    private static final long MIN_MODEL_CREDIT_TOKENS = 64;
+    private static final long MIN_SERVICE_CREDIT_BYTES = 64 * 1024;
     private static final long PROMPT_TOKENS_PER_UNIT = 16;
-    private static final Duration JUDGE_EVERY = Duration.ofMillis(300);
+    private static final Duration EJECTION_CHECK_INTERVAL = Duration.ofMillis(300);
 
     /** Reasons for which a request comes back not run through no load of its class; trying elsewhere costs nothing. */
-    private static final Set<ResultCode> FREE_RETURNS =
+    private static final Set<ResultCode> BUDGET_FREE_CODES =
             EnumSet.of(ResultCode.SERVER_LEAVING, ResultCode.SERVER_DOWN, ResultCode.SERVICE_ERROR);
 
-    private final RouterId self;
+    private final RouterId id;
     private final RouterOptions options;
     private final InstantSource clock;
     private final RouterPort port;
     private final InvariantMonitor monitor;
     private final ServerTable servers;
     private final AgentLinks links;
-    private final Balancer balancer;
-    private final RetryBudget budget;
-    private final LengthEstimator lengths = new LengthEstimator();
-    private final Desk desk = new Desk();
-    private final Doorkeeper doorkeeper = new Doorkeeper();
-    private final ExchangeBook book = new ExchangeBook();
-    private final FatalCalls fatalCalls = new FatalCalls();
-    private final KeyClaims claims;
-    private final AttemptWatch watch;
+    private final LoadBalancer loadBalancer;
+    private final RetryBudget retryBudget;
+    private final AnswerLengthEstimator answerLengths = new AnswerLengthEstimator();
+    private final RequestResolver requestResolver = new RequestResolver();
+    private final WorkspaceLimiter workspaceLimiter = new WorkspaceLimiter();
+    private final ExchangeRegistry exchanges = new ExchangeRegistry();
+    private final CrashAttribution crashAttribution = new CrashAttribution();
+    private final IdempotencyClaims claims;
+    private final ExchangeTimeouts timeouts;
     private ClusterConfig config = ClusterConfig.EMPTY;
-    private Instant lastJudged = Instant.MIN;
+    private Instant lastEjectionCheck = Instant.MIN;
     private boolean stopping;
 
     private RouterCore(
-            RouterId self,
+            RouterId id,
             RouterOptions options,
             InstantSource clock,
             RandomGenerator random,
             RouterPort port,
             InvariantMonitor monitor) {
-        this.self = self;
+        this.id = id;
         this.options = options;
         this.clock = clock;
         this.port = port;
         this.monitor = monitor;
-        this.servers = new ServerTable(self.name(), options.linksPerTarget());
-        this.links = new AgentLinks(servers, port, options.heartbeat(), this::inUse, this::onLinkDown);
-        this.claims = new KeyClaims(this, book, links, port, options, clock);
-        this.watch = new AttemptWatch(this, claims, options);
-        this.balancer = new Balancer(options.failureDomain(), random);
-        this.budget = RetryBudget.of(
+        this.servers = new ServerTable(id.name(), options.maxLinksPerTarget());
+        this.links = new AgentLinks(servers, port, options.heartbeatInterval(), this::inUse, this::onLinkDown);
+        this.claims = new IdempotencyClaims(this, exchanges, links, port, options, clock);
+        this.timeouts = new ExchangeTimeouts(this, claims, options);
+        this.loadBalancer = new LoadBalancer(options.failureDomain(), random);
+        this.retryBudget = RetryBudget.of(
                 options.retryRatio(),
                 options.retrySlack(),
                 options.retryWindow().toMillis());
@@ -94,17 +94,17 @@
 
     /** Returns the decisions of one router run. */
     public static RouterCore create(
-            RouterId self,
+            RouterId id,
             RouterOptions options,
             InstantSource clock,
             RandomGenerator random,
             RouterPort port,
             InvariantMonitor monitor) {
-        return new RouterCore(self, options, clock, random, port, monitor);
+        return new RouterCore(id, options, clock, random, port, monitor);
     }
 
-    public RouterId self() {
-        return self;
+    public RouterId id() {
+        return id;
     }
 
     public ConfigRevision revision() {
@@ -115,17 +115,17 @@
         return config;
     }
 
-    public int inProgress() {
-        return book.size();
+    public int inFlight() {
+        return exchanges.size();
     }
 
     /** Returns the number of agents linked now. */
-    public int links() {
+    public int linkedAgents() {
         return (int) servers.all().stream().filter(ServerView::linked).count();
     }
 
     /** Returns the number of servers that are left alone for being slow. */
-    public int ejected() {
+    public int ejectedServers() {
         return (int) servers.all().stream()
                 .filter(view -> view.machine().in(ServerState.EJECTED))
                 .count();
@@ -138,172 +138,178 @@
 
     /** Returns whether the router was told to stop and has no request in progress. */
     public boolean drained() {
-        return stopping && book.size() == 0;
+        return stopping && exchanges.size() == 0;
     }
 
     // ---- callers
 
     /** A caller's request has come in. */
-    public void onArrival(Arrival arrival) {
-        switch (desk.resolve(arrival)) {
-            case Desk.Resolution.Wrong wrong -> turnAway(arrival, wrong.refusal());
-            case Desk.Resolution.Known known -> admit(arrival, known);
+    public void onRequest(IncomingRequest request) {
+        switch (requestResolver.resolve(request)) {
+            case RequestResolver.Resolution.Rejected rejected -> reject(request, rejected.refusal());
+            case RequestResolver.Resolution.Resolved resolved -> admit(request, resolved);
         }
     }
 
-    private void admit(Arrival arrival, Desk.Resolution.Known known) {
+    private void admit(IncomingRequest request, RequestResolver.Resolution.Resolved resolved) {
         if (stopping) {
-            turnAway(arrival, Refusal.notRun(ResultCode.ROUTER_STOPPING, COME_BACK, "this router is stopping"));
+            reject(request, Refusal.notRun(ResultCode.ROUTER_STOPPING, DEFAULT_RETRY_AFTER, "this router is stopping"));
             return;
         }
-        if (book.size() >= options.mostExchanges()) {
-            turnAway(arrival, Refusal.notRun(ResultCode.QUEUE_FULL, COME_BACK, "this router is at its bound"));
+        if (exchanges.size() >= options.maxExchanges()) {
+            reject(request, Refusal.notRun(ResultCode.QUEUE_FULL, DEFAULT_RETRY_AFTER, "this router is at its bound"));
             return;
         }
-        Optional<Duration> held = held(arrival, known.workspace());
-        if (held.isPresent()) {
-            turnAway(arrival, heldRefusal(held.get()));
+        Optional<Duration> quarantinedFor = quarantinedFor(request, resolved.workspace());
+        if (quarantinedFor.isPresent()) {
+            reject(request, quarantineRefusal(quarantinedFor.get()));
             return;
         }
-        Optional<Duration> wait = doorkeeper.enter(known.workspace(), known.profile(), now());
-        if (wait.isPresent()) {
-            turnAway(
-                    arrival,
+        Optional<Duration> limiterWait = workspaceLimiter.tryAcquire(resolved.workspace(), resolved.profile(), now());
+        if (limiterWait.isPresent()) {
+            reject(
+                    request,
                     Refusal.notRun(
                             ResultCode.RATE_LIMITED,
-                            wait.get(),
-                            "workspace '" + known.workspace().id() + "' is at its limit for profile '"
-                                    + known.profile().name() + "'"));
+                            limiterWait.get(),
+                            "workspace '" + resolved.workspace().id() + "' is at its limit for profile '"
+                                    + resolved.profile().name() + "'"));
             return;
         }
-        long expected = arrival.kind() == ServerKind.SERVICE
+        long expectedUnits = request.kind() == ServerKind.SERVICE
                 ? 1
-                : lengths.expected(known.profile().name(), known.workspace().id());
+                : answerLengths.expectedUnits(
+                        resolved.profile().name(), resolved.workspace().id());
         Exchange exchange = new Exchange(
-                arrival,
-                known.workspace(),
-                known.profile(),
-                known.target(),
+                request,
+                resolved.workspace(),
+                resolved.profile(),
+                resolved.target(),
                 now(),
-                expected,
-                AttemptHistory.of(options.attemptTerms(known.profile().idempotent())));
-        book.add(exchange);
-        budget.request(known.profile().name().value(), now().toEpochMilli());
-        choose(exchange);
+                expectedUnits,
+                AttemptHistory.of(options.attemptLimits(resolved.profile().idempotent())));
+        exchanges.add(exchange);
+        retryBudget.request(resolved.profile().name().value(), now().toEpochMilli());
+        dispatch(exchange);
     }
 
     /** Equal for the same call under another id. */
-    private static RequestFingerprint fingerprint(Arrival arrival, Workspace workspace) {
-        String path = arrival.call() instanceof Call.ServiceCall call ? call.method() + " " + call.path() : "";
+    private static RequestFingerprint fingerprint(IncomingRequest request, Workspace workspace) {
+        String path = request.call() instanceof Call.ServiceCall call ? call.method() + " " + call.path() : "";
         return RequestFingerprint.of(
                 workspace.id().value(),
-                arrival.kind().name(),
-                arrival.target(),
+                request.kind().name(),
+                request.target(),
                 path,
-                ByteBuffer.wrap(arrival.bodyDigest().getBytes(StandardCharsets.UTF_8)));
+                ByteBuffer.wrap(request.bodyDigest().getBytes(StandardCharsets.UTF_8)));
     }
 
     private static RequestFingerprint fingerprint(Exchange exchange) {
-        return fingerprint(exchange.arrival(), exchange.workspace());
+        return fingerprint(exchange.request(), exchange.workspace());
     }
 
     /** Returns for how long a call is to be sent no more; a fingerprint is only made where some call is suspected. */
-    private Optional<Duration> held(Arrival arrival, Workspace workspace) {
-        return fatalCalls.empty() ? Optional.empty() : fatalCalls.held(fingerprint(arrival, workspace), now());
+    private Optional<Duration> quarantinedFor(IncomingRequest request, Workspace workspace) {
+        return crashAttribution.isEmpty()
+                ? Optional.empty()
+                : crashAttribution.quarantinedFor(fingerprint(request, workspace), now());
     }
 
-    private static Refusal heldRefusal(Duration wait) {
+    private static Refusal quarantineRefusal(Duration wait) {
         return Refusal.notRun(ResultCode.REQUEST_HELD, wait, ResultCode.REQUEST_HELD.meaning());
     }
 
     /** Refuses a request that never became an exchange. */
-    private void turnAway(Arrival arrival, Refusal refusal) {
-        port.count("refused_" + refusal.code().label());
-        port.refuse(arrival.id(), refusal);
+    private void reject(IncomingRequest request, Refusal refusal) {
+        port.countDecision("refused_" + refusal.code().label());
+        port.refuse(request.id(), refusal);
     }
 
     /** A caller has hung up. */
-    public void onCallerGone(RequestId request) {
-        Exchange exchange = book.find(request);
+    public void onCallerDisconnected(RequestId requestId) {
+        Exchange exchange = exchanges.find(requestId);
         if (exchange != null) {
-            letGo(exchange);
-            end(exchange, Refusal.unknown(ResultCode.CALLER_GONE, "the caller hung up"));
+            cancelAttempt(exchange);
+            close(exchange, Refusal.unknown(ResultCode.CALLER_GONE, "the caller hung up"));
         }
     }
 
     /** A caller has taken units of its answer. */
-    public void onCallerTook(RequestId request, long units) {
-        Exchange exchange = book.find(request);
+    public void onCallerConsumed(RequestId requestId, long units) {
+        Exchange exchange = exchanges.find(requestId);
         if (exchange == null || exchange.server() == null) {
             return;
         }
-        long worth = exchange.arrival().kind() == ServerKind.MODEL ? MODEL_CREDIT_WORTH : SERVICE_CREDIT_WORTH;
-        long due = exchange.creditDue(units, worth);
-        if (due > 0) {
-            port.send(exchange.server(), new Frame.Credit(exchange.attempt(), due));
+        long minUnits =
+                exchange.request().kind() == ServerKind.MODEL ? MIN_MODEL_CREDIT_TOKENS : MIN_SERVICE_CREDIT_BYTES;
+        long creditUnits = exchange.creditDue(units, minUnits);
+        if (creditUnits > 0) {
+            port.send(exchange.server(), new Frame.Credit(exchange.attemptNumber(), creditUnits));
         }
     }
 
     // ---- choosing an agent
 
-    void choose(Exchange exchange) {
-        Optional<Duration> held = held(exchange.arrival(), exchange.workspace());
-        if (held.isPresent()) {
-            refuse(exchange, partial(exchange, heldRefusal(held.get())));
+    void dispatch(Exchange exchange) {
+        Optional<Duration> quarantinedFor = quarantinedFor(exchange.request(), exchange.workspace());
+        if (quarantinedFor.isPresent()) {
+            refuse(exchange, withActualRunState(exchange, quarantineRefusal(quarantinedFor.get())));
             return;
         }
-        List<ServerView> candidates = servers.accepting(exchange.arrival().kind(), exchange.target()).stream()
-                .filter(view -> !exchange.tried().contains(view.server().id()))
+        List<ServerView> candidates = servers.accepting(exchange.request().kind(), exchange.target()).stream()
+                .filter(view -> !exchange.triedServers().contains(view.server().id()))
                 .toList();
         Optional<ServerView> chosen = switch (options.policy()) {
-            case RouterOptions.Policy.LeastTime any -> balancer.leastTime(candidates, exchange, now());
-            case RouterOptions.Policy.RoundRobin any -> balancer.nextInTurn(candidates);
+            case RouterOptions.Policy.LeastTime any -> loadBalancer.leastExpectedTime(candidates, exchange, now());
+            case RouterOptions.Policy.RoundRobin any -> loadBalancer.roundRobin(candidates);
         };
         if (chosen.isEmpty()) {
-            refuse(exchange, partial(exchange, exchange.lastRefusal().orElseGet(() -> noServer(exchange))));
+            refuse(exchange, withActualRunState(exchange, exchange.lastRefusal().orElseGet(() -> noServer(exchange))));
             return;
         }
-        exchange.chosen(chosen.get().server().id(), chosen.get().incarnation());
+        exchange.assignServer(chosen.get().server().id(), chosen.get().incarnation());
         if (exchange.keyed()) {
-            claims.ask(exchange);
+            claims.requestClaim(exchange);
         } else {
-            exchange.nextGeneration();
+            exchange.advanceGeneration();
             submit(exchange);
         }
     }
 
     private static Refusal noServer(Exchange exchange) {
         return Refusal.notRun(
-                ResultCode.NO_SERVER, COME_BACK, "no backend server for '" + exchange.target() + "' is reachable");
+                ResultCode.NO_SERVER,
+                DEFAULT_RETRY_AFTER,
+                "no backend server for '" + exchange.target() + "' is reachable");
     }
 
     void submit(Exchange exchange) {
         monitor.check(
                 Promise.AT_MOST_ONCE,
-                exchange.idempotent() || !exchange.fateOpen(),
+                exchange.idempotent() || !exchange.attemptUnresolved(),
                 () -> exchange + " is sent again although an attempt's fate is unknown");
         ServerView view = servers.find(exchange.server()).orElseThrow();
         exchange.machine().fire(ExchangeEvent.SUBMIT);
-        book.newAttempt(exchange, now());
+        exchanges.startAttempt(exchange, now());
         boolean resumes = exchange.idempotent() && exchange.deliveredUnits() > 0;
-        long expected = exchange.expectedUnits();
-        view.sent(expected + exchange.arrival().promptUnits() / PROMPT_TOKENS_PER_UNIT, now());
+        long expectedUnits = exchange.expectedUnits();
+        view.recordSubmission(expectedUnits + exchange.request().promptUnits() / PROMPT_TOKENS_PER_UNIT, now());
         port.send(
                 exchange.server(),
                 new Frame.Submit(
-                        exchange.attempt(),
+                        exchange.attemptNumber(),
                         exchange.id(),
                         exchange.work(),
                         exchange.timeLeft(now()),
                         exchange.execution(),
                         resumes ? exchange.deliveredText() : "",
                         resumes ? exchange.deliveredUnits() : 0,
-                        expected));
+                        expectedUnits));
     }
 
     /** The platform's store has decided a claim, or did not answer. */
     public void onClaimDecided(long sequence, ClaimDecision decision) {
-        claims.decided(sequence, decision);
+        claims.onDecision(sequence, decision);
     }
 
     // ---- links
@@ -318,12 +324,12 @@
         if (view.linked()) {
             onLinkDown(server);
         }
-        view.reset();
+        view.resetConnectionState();
         view.incarnation(incarnation);
         view.machine().fire(ServerEvent.LINK);
-        view.lastUsed(now());
+        view.lastUsedAt(now());
         port.send(server, new Frame.Heartbeat(config.revision()));
-        book.all().stream()
+        exchanges.all().stream()
                 .filter(exchange -> exchange.in(ExchangeState.UNCERTAIN) && server.equals(exchange.server()))
                 .forEach(claims::attach);
     }
@@ -335,47 +341,47 @@
             return;
         }
         found.get().machine().fire(ServerEvent.UNLINK);
-        found.get().reset();
-        book.all().stream()
+        found.get().resetConnectionState();
+        exchanges.all().stream()
                 .filter(exchange -> server.equals(exchange.server()))
                 .forEach(exchange -> exchange.attached(false));
-        List<Exchange> affected = book.all().stream()
+        List<Exchange> affected = exchanges.all().stream()
                 .filter(exchange -> server.equals(exchange.server()))
                 .filter(exchange -> exchange.in(ExchangeState.SUBMITTED) || exchange.in(ExchangeState.RUNNING))
                 .toList();
-        affected.forEach(
-                exchange -> lost(exchange, ResultCode.CONNECTION_LOST, "the connection to its agent was lost"));
+        affected.forEach(exchange ->
+                onAttemptLost(exchange, ResultCode.CONNECTION_LOST, "the connection to its agent was lost"));
     }
 
     /** An attempt is out of reach and may have run. */
-    void lost(Exchange exchange, ResultCode code, String detail) {
-        book.forgetAttempt(exchange);
+    void onAttemptLost(Exchange exchange, ResultCode code, String detail) {
+        exchanges.forgetAttempt(exchange);
         port.attemptFailed(exchange.id(), exchange.server(), code, RunState.UNKNOWN, detail);
         if (exchange.idempotent()) {
-            recover(exchange, code, detail);
+            retryOrRefuse(exchange, code, detail);
         } else {
-            port.count("doubt_" + code.label());
+            port.countDecision("doubt_" + code.label());
             exchange.machine().fire(ExchangeEvent.DOUBT);
             exchange.waitingSince(now());
         }
     }
 
     /** Tries an idempotent request again, from where its answer broke off, if budget and time allow. */
-    private void recover(Exchange exchange, ResultCode code, String detail) {
-        boolean naive = options.policy() instanceof RouterOptions.Policy.RoundRobin;
-        boolean service = exchange.arrival().kind() == ServerKind.SERVICE;
-        boolean unfit = service && exchange.anythingDelivered();
-        exchange.tried().add(exchange.server());
-        exchange.attemptLost();
-        if (naive || unfit || !mayRepeat(exchange, true)) {
+    private void retryOrRefuse(Exchange exchange, ResultCode code, String detail) {
+        boolean retriesDisabled = options.policy() instanceof RouterOptions.Policy.RoundRobin;
+        boolean service = exchange.request().kind() == ServerKind.SERVICE;
+        boolean notResumable = service && exchange.anythingDelivered();
+        exchange.triedServers().add(exchange.server());
+        exchange.attemptMayHaveRun();
+        if (retriesDisabled || notResumable || !mayRetry(exchange, true)) {
             refuse(exchange, Refusal.unknown(code, detail));
-        } else if (!takeRetry(exchange)) {
-            port.count("retry_refused_" + ResultCode.RETRY_BUDGET_SPENT.label());
-            refuse(exchange, new Refusal(ResultCode.RETRY_BUDGET_SPENT, RunState.UNKNOWN, COME_BACK, detail));
+        } else if (!tryTakeRetry(exchange)) {
+            port.countDecision("retry_refused_" + ResultCode.RETRY_BUDGET_SPENT.label());
+            refuse(exchange, new Refusal(ResultCode.RETRY_BUDGET_SPENT, RunState.UNKNOWN, DEFAULT_RETRY_AFTER, detail));
         } else {
-            port.count("retry_" + code.label());
+            port.countDecision("retry_" + code.label());
             exchange.machine().fire(ExchangeEvent.LOSE);
-            choose(exchange);
+            dispatch(exchange);
         }
     }
 
@@ -389,24 +395,25 @@
         }
         ServerView view = found.get();
         switch (frame) {
-            case Frame.Queued queued -> attemptOf(queued.attempt(), server).ifPresent(this::queuedAfterAll);
-            case Frame.Started started -> attemptOf(started.attempt(), server).ifPresent(this::started);
-            case Frame.Head head -> attemptOf(head.attempt(), server).ifPresent(exchange -> onHead(exchange, head));
+            case Frame.Queued queued -> findByAttempt(queued.attempt(), server).ifPresent(this::onQueued);
+            case Frame.Started started ->
+                findByAttempt(started.attempt(), server).ifPresent(this::onStarted);
+            case Frame.Head head -> findByAttempt(head.attempt(), server).ifPresent(exchange -> onHead(exchange, head));
             case Frame.Chunk chunk ->
-                attemptOf(chunk.attempt(), server).ifPresent(exchange -> onChunk(exchange, chunk));
+                findByAttempt(chunk.attempt(), server).ifPresent(exchange -> onChunk(exchange, chunk));
             case Frame.Done done -> {
-                reported(view, done.load());
-                attemptOf(done.attempt(), server).ifPresent(exchange -> onDone(exchange, done));
+                onLoad(view, done.load());
+                findByAttempt(done.attempt(), server).ifPresent(exchange -> onDone(exchange, done));
             }
             case Frame.NotRun notRun -> {
-                reported(view, notRun.load());
-                attemptOf(notRun.attempt(), server).ifPresent(exchange -> onNotRun(exchange, notRun));
+                onLoad(view, notRun.load());
+                findByAttempt(notRun.attempt(), server).ifPresent(exchange -> onNotRun(exchange, notRun));
             }
             case Frame.Failed failed -> {
-                reported(view, failed.load());
-                attemptOf(failed.attempt(), server).ifPresent(exchange -> onFailed(exchange, failed));
+                onLoad(view, failed.load());
+                findByAttempt(failed.attempt(), server).ifPresent(exchange -> onFailed(exchange, failed));
             }
-            case Frame.LoadReport report -> reported(view, report.load());
+            case Frame.LoadReport report -> onLoad(view, report.load());
             case Frame.Heartbeat heartbeat -> {
                 if (config.revision().behind(heartbeat.revision())) {
                     port.send(server, new Frame.ConfigPull());
@@ -417,23 +424,24 @@
         }
     }
 
-    private Optional<Exchange> attemptOf(long attempt, ServerId server) {
-        Optional<Exchange> found = book.ofAttempt(attempt, server);
+    private Optional<Exchange> findByAttempt(long attempt, ServerId server) {
+        Optional<Exchange> found = exchanges.findByAttempt(attempt, server);
         if (found.isEmpty()) {
-            port.count("late_message");
+            port.countDecision("late_message");
         }
         return found;
     }
 
-    private void reported(ServerView view, Load load) {
-        view.reported(load, now());
-        noteIfDown(view);
+    private void onLoad(ServerView view, Load load) {
+        view.recordLoad(load, now());
+        recordIfDown(view);
     }
 
     /** A server that takes no work right after it failed runs has ended under them. */
-    private void noteIfDown(ServerView view) {
-        if (!view.load().accepting() && fatalCalls.down(view.server().id(), now()) > 0) {
-            port.count("request_held");
+    private void recordIfDown(ServerView view) {
+        if (!view.load().accepting()
+                && crashAttribution.recordServerDown(view.server().id(), now()) > 0) {
+            port.countDecision("request_held");
         }
     }
 
@@ -443,145 +451,147 @@
      * <p>Done at intervals and not at each report: a comparison reads all peers, and with hundreds of links a report each
      * would make the cost grow with the square of their number.
      */
-    private void judgeServers(Instant now) {
-        if (!lastJudged.equals(Instant.MIN) && lastJudged.plus(JUDGE_EVERY).isAfter(now)) {
+    private void updateEjections(Instant now) {
+        if (!lastEjectionCheck.equals(Instant.MIN)
+                && lastEjectionCheck.plus(EJECTION_CHECK_INTERVAL).isAfter(now)) {
             return;
         }
-        lastJudged = now;
-        for (Collection<ServerView> peers : servers.groups()) {
-            balancer.judge(peers, () -> port.count("server_ejected"), () -> port.count("server_returned"));
+        lastEjectionCheck = now;
+        for (Collection<ServerView> peers : servers.linkedByTargets()) {
+            loadBalancer.updateEjections(
+                    peers, () -> port.countDecision("server_ejected"), () -> port.countDecision("server_returned"));
         }
     }
 
-    private void queuedAfterAll(Exchange exchange) {
+    private void onQueued(Exchange exchange) {
         if (exchange.in(ExchangeState.UNCERTAIN)) {
             exchange.machine().fire(ExchangeEvent.SUBMIT);
         }
     }
 
-    private void started(Exchange exchange) {
+    private void onStarted(Exchange exchange) {
         if (exchange.in(ExchangeState.UNCERTAIN)) {
             exchange.machine().fire(ExchangeEvent.SUBMIT);
         }
         exchange.machine().tryFire(ExchangeEvent.START);
-        exchange.progressed(now());
+        exchange.recordProgress(now());
     }
 
     private void onHead(Exchange exchange, Frame.Head head) {
-        started(exchange);
+        onStarted(exchange);
         if (!exchange.headSent()) {
             exchange.headSent(now());
-            port.head(exchange.id(), head.status(), head.contentType());
+            port.deliverHead(exchange.id(), head.status(), head.contentType());
         }
     }
 
     private void onChunk(Exchange exchange, Frame.Chunk chunk) {
-        started(exchange);
-        long have = exchange.deliveredUnits();
-        if (chunk.offset() + chunk.units() <= have) {
-            port.send(exchange.server(), new Frame.Credit(exchange.attempt(), chunk.units()));
+        onStarted(exchange);
+        long deliveredUnits = exchange.deliveredUnits();
+        if (chunk.offset() + chunk.units() <= deliveredUnits) {
+            port.send(exchange.server(), new Frame.Credit(exchange.attemptNumber(), chunk.units()));
             return;
         }
-        if (chunk.offset() != have) {
-            port.send(exchange.server(), new Frame.Cancel(exchange.attempt(), exchange.keyed()));
-            broken(exchange, "a piece at " + chunk.offset() + " came when " + have + " was due");
+        if (chunk.offset() != deliveredUnits) {
+            port.send(exchange.server(), new Frame.Cancel(exchange.attemptNumber(), exchange.keyed()));
+            onAnswerCut(exchange, "a piece at " + chunk.offset() + " came when " + deliveredUnits + " was due");
             return;
         }
         exchange.delivered(chunk.units(), chunk.data(), now());
-        port.chunk(exchange.id(), chunk.units(), chunk.data());
+        port.deliverChunk(exchange.id(), chunk.units(), chunk.data());
     }
 
-    private void broken(Exchange exchange, String detail) {
-        book.forgetAttempt(exchange);
+    private void onAnswerCut(Exchange exchange, String detail) {
+        exchanges.forgetAttempt(exchange);
         port.attemptFailed(exchange.id(), exchange.server(), ResultCode.ANSWER_CUT, RunState.UNKNOWN, detail);
         if (exchange.idempotent()) {
-            recover(exchange, ResultCode.ANSWER_CUT, detail);
+            retryOrRefuse(exchange, ResultCode.ANSWER_CUT, detail);
         } else {
             refuse(exchange, Refusal.unknown(ResultCode.ANSWER_CUT, detail));
         }
     }
 
     private void onDone(Exchange exchange, Frame.Done done) {
-        started(exchange);
+        onStarted(exchange);
         if (done.totalUnits() != exchange.deliveredUnits()) {
-            broken(exchange, done.totalUnits() + " units were produced, " + exchange.deliveredUnits() + " came");
+            onAnswerCut(exchange, done.totalUnits() + " units were produced, " + exchange.deliveredUnits() + " came");
             return;
         }
         monitor.held(Promise.WHOLE_ANSWER);
-        if (!fatalCalls.empty()) {
-            fatalCalls.served(fingerprint(exchange), now());
+        if (!crashAttribution.isEmpty()) {
+            crashAttribution.recordCompletedRun(fingerprint(exchange), now());
         }
         exchange.machine().fire(ExchangeEvent.FINISH);
-        book.remove(exchange);
-        doorkeeper.leave(exchange.workspace(), exchange.profile());
-        if (exchange.arrival().kind() == ServerKind.MODEL) {
-            lengths.observed(exchange.profile().name(), exchange.workspace().id(), done.totalUnits());
+        exchanges.remove(exchange);
+        workspaceLimiter.release(exchange.workspace(), exchange.profile());
+        if (exchange.request().kind() == ServerKind.MODEL) {
+            answerLengths.record(exchange.profile().name(), exchange.workspace().id(), done.totalUnits());
         }
         port.complete(exchange.id(), done.finishReason(), done.totalUnits());
-        port.ended(outcome(exchange, ResultCode.OK, RunState.COMPLETE));
+        port.exchangeEnded(outcome(exchange, ResultCode.OK, RunState.COMPLETE));
     }
 
     private void onNotRun(Exchange exchange, Frame.NotRun notRun) {
-        book.forgetAttempt(exchange);
+        exchanges.forgetAttempt(exchange);
         Refusal refusal =
                 Refusal.notRun(notRun.code(), notRun.retryAfter(), notRun.code().meaning());
         port.attemptFailed(exchange.id(), exchange.server(), notRun.code(), RunState.NOT_RUN, refusal.detail());
         if (exchange.in(ExchangeState.UNCERTAIN)) {
-            settledAsNotRun(exchange, refusal);
+            onConfirmedNotRun(exchange, refusal);
             return;
         }
-        boolean costsBudget = !FREE_RETURNS.contains(notRun.code());
-        exchange.returned(refusal);
+        boolean costsBudget = !BUDGET_FREE_CODES.contains(notRun.code());
+        exchange.attemptNotRun(refusal);
         exchange.machine().fire(ExchangeEvent.RETURN);
-        boolean naive = options.policy() instanceof RouterOptions.Policy.RoundRobin;
-        if (naive || !mayRepeat(exchange, false)) {
-            refuse(exchange, partial(exchange, refusal));
-        } else if (costsBudget && !takeRetry(exchange)) {
-            port.count("retry_refused_" + ResultCode.RETRY_BUDGET_SPENT.label());
-            refuse(exchange, partial(exchange, refusal));
+        boolean retriesDisabled = options.policy() instanceof RouterOptions.Policy.RoundRobin;
+        if (retriesDisabled || !mayRetry(exchange, false)) {
+            refuse(exchange, withActualRunState(exchange, refusal));
+        } else if (costsBudget && !tryTakeRetry(exchange)) {
+            port.countDecision("retry_refused_" + ResultCode.RETRY_BUDGET_SPENT.label());
+            refuse(exchange, withActualRunState(exchange, refusal));
         } else {
-            port.count("retry_" + notRun.code().label());
-            choose(exchange);
+            port.countDecision("retry_" + notRun.code().label());
+            dispatch(exchange);
         }
     }
 
-    private boolean mayRepeat(Exchange exchange, boolean newestMayHaveRun) {
+    private boolean mayRetry(Exchange exchange, boolean newestMayHaveRun) {
         return exchange.history()
                 .mayRepeat(newestMayHaveRun, exchange.timeLeft(now()).toMillis());
     }
 
     /** Takes one retry from the budget of the request's class. */
-    private boolean takeRetry(Exchange exchange) {
-        return budget.take(exchange.profile().name().value(), now().toEpochMilli());
+    private boolean tryTakeRetry(Exchange exchange) {
+        return retryBudget.take(exchange.profile().name().value(), now().toEpochMilli());
     }
 
     /** An attempt that resumes an answer did not run, but earlier ones did. */
-    private static Refusal partial(Exchange exchange, Refusal refusal) {
+    private static Refusal withActualRunState(Exchange exchange, Refusal refusal) {
         return exchange.mayHaveRun()
                 ? new Refusal(refusal.code(), RunState.UNKNOWN, refusal.retryAfter(), refusal.detail())
                 : refusal;
     }
 
     /** The agent that was in doubt says that the request never began there: it may go elsewhere. */
-    private void settledAsNotRun(Exchange exchange, Refusal refusal) {
-        exchange.settledAsNotRun();
+    private void onConfirmedNotRun(Exchange exchange, Refusal refusal) {
+        exchange.confirmNotRun();
         exchange.machine().fire(ExchangeEvent.SUBMIT);
         exchange.machine().fire(ExchangeEvent.RETURN);
-        if (!mayRepeat(exchange, false)) {
+        if (!mayRetry(exchange, false)) {
             refuse(exchange, refusal);
         } else {
-            port.count("retry_settled_not_run");
-            choose(exchange);
+            port.countDecision("retry_settled_not_run");
+            dispatch(exchange);
         }
     }
 
     private void onFailed(Exchange exchange, Frame.Failed failed) {
-        book.forgetAttempt(exchange);
-        fatalCalls.failed(exchange.server(), fingerprint(exchange), now());
-        servers.find(exchange.server()).ifPresent(this::noteIfDown);
+        exchanges.forgetAttempt(exchange);
+        crashAttribution.recordFailedRun(exchange.server(), fingerprint(exchange), now());
+        servers.find(exchange.server()).ifPresent(this::recordIfDown);
         port.attemptFailed(exchange.id(), exchange.server(), failed.code(), RunState.UNKNOWN, failed.detail());
         if (exchange.idempotent()) {
-            recover(exchange, failed.code(), failed.detail());
+            retryOrRefuse(exchange, failed.code(), failed.detail());
         } else {
             refuse(exchange, Refusal.unknown(failed.code(), failed.detail()));
         }
@@ -595,49 +605,49 @@
                 refusal.run() != RunState.NOT_RUN || provablyNotRun(exchange),
                 () -> exchange + " is reported as not run");
         port.refuse(exchange.id(), refusal);
-        end(exchange, refusal);
+        close(exchange, refusal);
     }
 
     private static boolean provablyNotRun(Exchange exchange) {
-        boolean nothingOut = exchange.in(ExchangeState.CHOOSING) || exchange.in(ExchangeState.CLAIMING);
-        return nothingOut && !exchange.mayHaveRun();
+        boolean noAttemptSent = exchange.in(ExchangeState.CHOOSING) || exchange.in(ExchangeState.CLAIMING);
+        return noAttemptSent && !exchange.mayHaveRun();
     }
 
-    private void end(Exchange exchange, Refusal refusal) {
-        book.remove(exchange);
-        doorkeeper.leave(exchange.workspace(), exchange.profile());
+    private void close(Exchange exchange, Refusal refusal) {
+        exchanges.remove(exchange);
+        workspaceLimiter.release(exchange.workspace(), exchange.profile());
         if (!exchange.anythingDelivered() || !exchange.machine().tryFire(ExchangeEvent.CUT)) {
             exchange.machine().fire(ExchangeEvent.REFUSE);
         }
         if (refusal.run() == RunState.NOT_RUN) {
-            exchange.claim().ifPresent(port::release);
+            exchange.claim().ifPresent(port::releaseClaim);
         }
-        port.count("refused_" + refusal.code().label());
-        port.ended(outcome(exchange, refusal.code(), refusal.run()));
+        port.countDecision("refused_" + refusal.code().label());
+        port.exchangeEnded(outcome(exchange, refusal.code(), refusal.run()));
     }
 
     /** Tells the agent that nobody waits; a keyed request runs on, so that a repeat of the key finds its result. */
-    void letGo(Exchange exchange) {
-        boolean out = exchange.in(ExchangeState.SUBMITTED) || exchange.in(ExchangeState.RUNNING);
-        if (out && links.isLinked(exchange.server())) {
-            port.send(exchange.server(), new Frame.Cancel(exchange.attempt(), exchange.keyed()));
+    void cancelAttempt(Exchange exchange) {
+        boolean sent = exchange.in(ExchangeState.SUBMITTED) || exchange.in(ExchangeState.RUNNING);
+        if (sent && links.isLinked(exchange.server())) {
+            port.send(exchange.server(), new Frame.Cancel(exchange.attemptNumber(), exchange.keyed()));
         }
     }
 
-    private Outcome outcome(Exchange exchange, ResultCode code, RunState run) {
-        Duration first = exchange.firstOutput()
-                .map(at -> Duration.between(exchange.arrived(), at))
+    private ExchangeOutcome outcome(Exchange exchange, ResultCode code, RunState runState) {
+        Duration timeToFirstOutput = exchange.firstOutputAt()
+                .map(at -> Duration.between(exchange.arrivedAt(), at))
                 .orElse(Duration.ZERO);
-        return new Outcome(
+        return new ExchangeOutcome(
                 exchange.id(),
                 exchange.workspace().id(),
                 exchange.profile().name(),
                 code,
-                run,
-                first,
-                Duration.between(exchange.arrived(), now()),
+                runState,
+                timeToFirstOutput,
+                Duration.between(exchange.arrivedAt(), now()),
                 exchange.deliveredUnits(),
-                exchange.attempts());
+                exchange.attemptCount());
     }
 
     // ---- configuration, time, stop
@@ -655,14 +665,14 @@
                 () -> "revision went from " + before + " to " + merged.revision());
         boolean serversChanged = merged.servers().revision() > before.servers();
         config = merged;
-        desk.config(config);
-        port.applied(config);
-        links.config(config, serversChanged);
-        links.tellRevision();
+        requestResolver.applyConfig(config);
+        port.configApplied(config);
+        links.applyConfig(config, serversChanged);
+        links.broadcastRevision();
     }
 
     private boolean inUse(ServerId id) {
-        return book.all().stream().anyMatch(exchange -> id.equals(exchange.server()));
+        return exchanges.all().stream().anyMatch(exchange -> id.equals(exchange.server()));
     }
 
     /** Begins a planned stop: no new requests, those in progress are finished. */
@@ -673,14 +683,14 @@
     /** Time has passed; called several times a second. */
     public void onTick() {
         Instant now = now();
-        for (Exchange exchange : book.all()) {
-            if (book.holds(exchange)) {
-                watch.watch(exchange, now);
+        for (Exchange exchange : exchanges.all()) {
+            if (exchanges.contains(exchange)) {
+                timeouts.check(exchange, now);
             }
         }
-        judgeServers(now);
+        updateEjections(now);
         links.tick(now);
-        fatalCalls.trim(now);
+        crashAttribution.evictExpired(now);
     }
 
     private Instant now() {
--- a/core/src/main/java/org/tanagerhinge/core/router/RouterOptions.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RouterOptions.java
@@ -23,18 +23,18 @@
  */
 public record RouterOptions(
         FailureDomain failureDomain,
-        int linksPerTarget,
+        int maxLinksPerTarget,
         double retryRatio,
         int retrySlack,
         Duration retryWindow,
-        int mostReturns,
-        Duration claimPatience,
-        Duration doubtPatience,
+        int maxNotRunRetries,
+        Duration claimTimeout,
+        Duration uncertainTimeout,
         Duration stallTimeout,
         Duration firstOutputTimeout,
-        Duration verdictGrace,
-        Duration heartbeat,
-        int mostExchanges,
+        Duration deadlineGrace,
+        Duration heartbeatInterval,
+        int maxExchanges,
         Policy policy) {
 
     /** How an agent is chosen and what happens when an attempt fails. */
@@ -69,61 +69,61 @@
     public RouterOptions withPolicy(Policy next) {
         return new RouterOptions(
                 failureDomain,
-                linksPerTarget,
+                maxLinksPerTarget,
                 retryRatio,
                 retrySlack,
                 retryWindow,
-                mostReturns,
-                claimPatience,
-                doubtPatience,
+                maxNotRunRetries,
+                claimTimeout,
+                uncertainTimeout,
                 stallTimeout,
                 firstOutputTimeout,
-                verdictGrace,
-                heartbeat,
-                mostExchanges,
+                deadlineGrace,
+                heartbeatInterval,
+                maxExchanges,
                 next);
     }
 
     /** Returns these options with another bound of links. */
-    public RouterOptions withLinksPerTarget(int next) {
+    public RouterOptions withMaxLinksPerTarget(int next) {
         return new RouterOptions(
                 failureDomain,
                 next,
                 retryRatio,
                 retrySlack,
                 retryWindow,
-                mostReturns,
-                claimPatience,
-                doubtPatience,
+                maxNotRunRetries,
+                claimTimeout,
+                uncertainTimeout,
                 stallTimeout,
                 firstOutputTimeout,
-                verdictGrace,
-                heartbeat,
-                mostExchanges,
+                deadlineGrace,
+                heartbeatInterval,
+                maxExchanges,
                 policy);
     }
 
     /** Returns these options with another bound of requests in progress. */
-    public RouterOptions withMostExchanges(int next) {
+    public RouterOptions withMaxExchanges(int next) {
         return new RouterOptions(
                 failureDomain,
-                linksPerTarget,
+                maxLinksPerTarget,
                 retryRatio,
                 retrySlack,
                 retryWindow,
-                mostReturns,
-                claimPatience,
-                doubtPatience,
+                maxNotRunRetries,
+                claimTimeout,
+                uncertainTimeout,
                 stallTimeout,
                 firstOutputTimeout,
-                verdictGrace,
-                heartbeat,
+                deadlineGrace,
+                heartbeatInterval,
                 next,
                 policy);
     }
 
     /** Returns how often one request may be sent: as often as the budget allows while servers may have run it. */
-    AttemptTerms attemptTerms(boolean idempotent) {
-        return new AttemptTerms(idempotent, Integer.MAX_VALUE, mostReturns, Integer.MAX_VALUE);
+    AttemptTerms attemptLimits(boolean idempotent) {
+        return new AttemptTerms(idempotent, Integer.MAX_VALUE, maxNotRunRetries, Integer.MAX_VALUE);
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/router/RouterPort.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RouterPort.java
@@ -20,10 +20,10 @@
      *
      * @param expectedGeneration the generation that the claim replaces; 0 for a key not used before
      */
-    void claim(long sequence, ClaimEntry wanted, long expectedGeneration);
+    void claim(long sequence, ClaimEntry claim, long expectedGeneration);
 
     /** Gives a claim back in the platform's store, if that answers: under it nothing ran and nothing will. */
-    void release(ClaimEntry claim);
+    void releaseClaim(ClaimEntry claim);
 
     /** Opens a connection to an agent and keeps trying until {@link #unlink}. */
     void link(BackendServer server);
@@ -32,10 +32,10 @@
     void unlink(ServerId server);
 
     /** Gives the caller the status and content type of a plain service's answer. */
-    void head(RequestId request, int status, String contentType);
+    void deliverHead(RequestId request, int status, String contentType);
 
     /** Gives the caller the next piece of its answer. */
-    void chunk(RequestId request, long units, byte[] data);
+    void deliverChunk(RequestId request, long units, byte[] data);
 
     /** Tells the caller that its answer is whole. */
     void complete(RequestId request, String finishReason, long units);
@@ -44,14 +44,14 @@
     void refuse(RequestId request, Refusal refusal);
 
     /** Notes that a request's attempt has failed, for whoever explains it later. */
-    default void attemptFailed(RequestId request, ServerId server, ResultCode code, RunState run, String why) {}
+    default void attemptFailed(RequestId request, ServerId server, ResultCode code, RunState run, String detail) {}
 
     /** Notes how an exchange ended. */
-    void ended(Outcome outcome);
+    void exchangeEnded(ExchangeOutcome outcome);
 
     /** Counts a retry, recovery or other decision by its reason. */
-    void count(String reason);
+    void countDecision(String reason);
 
     /** Tells that a newer configuration was applied. */
-    void applied(ClusterConfig config);
+    void configApplied(ClusterConfig config);
 }
--- a/core/src/main/java/org/tanagerhinge/core/router/ServerTable.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ServerTable.java
@@ -26,12 +26,12 @@
  */
 final class ServerTable {
     private final String routerName;
-    private final int linksPerTarget;
+    private final int maxLinksPerTarget;
     private final Map<ServerId, ServerView> views = new LinkedHashMap<>();
 
-    ServerTable(String routerName, int linksPerTarget) {
+    ServerTable(String routerName, int maxLinksPerTarget) {
         this.routerName = routerName;
-        this.linksPerTarget = linksPerTarget;
+        this.maxLinksPerTarget = maxLinksPerTarget;
     }
 
     Collection<ServerView> all() {
@@ -57,12 +57,12 @@
     List<ServerView> accepting(ServerKind kind, TargetName target) {
         List<ServerView> accepting = new ArrayList<>();
         for (ServerView view : views.values()) {
-            boolean fits =
+            boolean serves =
                     view.server().kind() == kind && view.server().targets().contains(target);
-            boolean open = view.linked()
+            boolean takesWork = view.linked()
                     && view.server().mark() == ServerMark.SERVING
                     && view.load().accepting();
-            if (fits && open) {
+            if (serves && takesWork) {
                 accepting.add(view);
             }
         }
@@ -70,7 +70,7 @@
     }
 
     /** Returns the linked servers, grouped by what they serve. */
-    Collection<List<ServerView>> groups() {
+    Collection<List<ServerView>> linkedByTargets() {
         Map<Set<TargetName>, List<ServerView>> groups = new LinkedHashMap<>();
         for (ServerView view : views.values()) {
             if (view.linked()) {
@@ -82,7 +82,7 @@
     }
 
     /** Returns the servers that this router should be connected to under a list. */
-    Set<ServerId> wanted(ServersDocument servers) {
+    Set<ServerId> connectionSubset(ServersDocument servers) {
         Map<TargetName, List<ServerId>> byTarget = new TreeMap<>();
         for (BackendServer server : servers.servers()) {
             if (server.mark() != ServerMark.STOPPED) {
@@ -91,8 +91,8 @@
                 }
             }
         }
-        Set<ServerId> wanted = new HashSet<>();
-        byTarget.values().forEach(ids -> wanted.addAll(Rendezvous.top(routerName, ids, linksPerTarget)));
-        return wanted;
+        Set<ServerId> subset = new HashSet<>();
+        byTarget.values().forEach(ids -> subset.addAll(Rendezvous.top(routerName, ids, maxLinksPerTarget)));
+        return subset;
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/router/ServerView.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ServerView.java
@@ -16,18 +16,18 @@
     /** What was sent this shortly before a report cannot be in the report yet. */
     private static final Duration REPORT_LAG = Duration.ofMillis(10);
 
-    private record Sent(Instant at, long cost) {}
+    private record Submission(Instant at, long cost) {}
 
     private final Machine<ServerState, ServerEvent> machine = CHART.start();
-    private final Deque<Sent> sinceReport = new ArrayDeque<>();
+    private final Deque<Submission> unreportedSubmissions = new ArrayDeque<>();
     private BackendServer server;
     private long incarnation;
     private Load load = Load.none();
-    private long sentCost;
-    private Instant lastProbe = Instant.MIN;
-    private Instant lastSent = Instant.MIN;
-    private Instant lastUsed = Instant.MIN;
-    private int slowReports;
+    private long unreportedCost;
+    private Instant lastProbeAt = Instant.MIN;
+    private Instant lastHeartbeatAt = Instant.MIN;
+    private Instant lastUsedAt = Instant.MIN;
+    private int consecutiveSlowChecks;
 
     ServerView(BackendServer server) {
         this.server = server;
@@ -61,65 +61,65 @@
         return load;
     }
 
-    void reported(Load next, Instant now) {
+    void recordLoad(Load next, Instant now) {
         load = next;
-        while (!sinceReport.isEmpty()
-                && sinceReport.peekFirst().at().plus(REPORT_LAG).isBefore(now)) {
-            sentCost -= sinceReport.pollFirst().cost();
+        while (!unreportedSubmissions.isEmpty()
+                && unreportedSubmissions.peekFirst().at().plus(REPORT_LAG).isBefore(now)) {
+            unreportedCost -= unreportedSubmissions.pollFirst().cost();
         }
     }
 
-    void sent(long cost, Instant now) {
-        sinceReport.addLast(new Sent(now, cost));
-        sentCost += cost;
+    void recordSubmission(long cost, Instant now) {
+        unreportedSubmissions.addLast(new Submission(now, cost));
+        unreportedCost += cost;
     }
 
     /** Forgets everything that a former connection told. */
-    void reset() {
+    void resetConnectionState() {
         load = Load.none();
-        sinceReport.clear();
-        sentCost = 0;
-        slowReports = 0;
+        unreportedSubmissions.clear();
+        unreportedCost = 0;
+        consecutiveSlowChecks = 0;
     }
 
     /** Returns the cost of what was sent and is in no report yet. */
     long unreportedCost() {
-        return sentCost;
+        return unreportedCost;
     }
 
-    int unreported() {
-        return sinceReport.size();
+    int unreportedCount() {
+        return unreportedSubmissions.size();
     }
 
-    Instant lastProbe() {
-        return lastProbe;
+    Instant lastProbeAt() {
+        return lastProbeAt;
     }
 
-    void probed(Instant now) {
-        lastProbe = now;
+    void recordProbe(Instant now) {
+        lastProbeAt = now;
     }
 
-    Instant lastSent() {
-        return lastSent;
+    Instant lastHeartbeatAt() {
+        return lastHeartbeatAt;
     }
 
-    void lastSent(Instant now) {
-        lastSent = now;
+    void lastHeartbeatAt(Instant at) {
+        lastHeartbeatAt = at;
     }
 
-    Instant lastUsed() {
-        return lastUsed;
+    Instant lastUsedAt() {
+        return lastUsedAt;
     }
 
-    void lastUsed(Instant now) {
-        lastUsed = now;
+    void lastUsedAt(Instant at) {
+        lastUsedAt = at;
     }
 
-    int slowReports() {
-        return slowReports;
+    int consecutiveSlowChecks() {
+        return consecutiveSlowChecks;
     }
 
-    void slowReports(int next) {
-        slowReports = next;
+    void consecutiveSlowChecks(int next) {
+        consecutiveSlowChecks = next;
     }
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/ControlCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/ControlCost.java
@@ -57,7 +57,7 @@
         Fixture.CountingRouterPort port = new Fixture.CountingRouterPort();
         RouterCore core = RouterCore.create(
                 RouterId.of("router-1", 1),
-                RouterOptions.defaults(FailureDomain.of("domain-0")).withLinksPerTarget(links),
+                RouterOptions.defaults(FailureDomain.of("domain-0")).withMaxLinksPerTarget(links),
                 clock,
                 new Random(1),
                 port,
@@ -67,7 +67,7 @@
         for (int i = 0; i < servers; i++) {
             core.onLinkUp(Fixture.server(i), i);
         }
-        int linked = core.links();
+        int linked = core.linkedAgents();
         byte[] heartbeat = FrameEncoder.encode(new Frame.Heartbeat(ConfigRevision.of(1, 1)))
                 .toByteArray();
         byte[] load = FrameEncoder.encode(new Frame.LoadReport(Fixture.load())).toByteArray();
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/DecisionCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/DecisionCost.java
@@ -91,7 +91,7 @@
             Fixture.HandClock clock, Fixture.CountingRouterPort port, int servers, int customers) {
         RouterCore core = RouterCore.create(
                 ROUTER,
-                RouterOptions.defaults(FailureDomain.of("domain-0")).withLinksPerTarget(servers),
+                RouterOptions.defaults(FailureDomain.of("domain-0")).withMaxLinksPerTarget(servers),
                 clock,
                 new Random(1),
                 port,
@@ -110,7 +110,7 @@
         RouterCore core = routerCore(clock, port, servers, workspaces);
         long cpu = Probe.ownCpuNanos();
         for (int i = 0; i < REQUESTS; i++) {
-            core.onArrival(Fixture.arrival(i, i % workspaces));
+            core.onRequest(Fixture.arrival(i, i % workspaces));
             Frame.Submit submit = port.submits.get(i);
             core.onFrame(port.lastServer, new Frame.Done(submit.attempt(), 0, "stop", Fixture.load()));
         }
@@ -124,7 +124,7 @@
         byte[] data = " token".getBytes(java.nio.charset.StandardCharsets.UTF_8);
         int requests = 200;
         for (int i = 0; i < requests; i++) {
-            core.onArrival(Fixture.arrival(i, 0));
+            core.onRequest(Fixture.arrival(i, 0));
         }
         long cpu = Probe.ownCpuNanos();
         for (int token = 0; token < TOKENS; token++) {
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/Fixture.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/Fixture.java
@@ -30,8 +30,8 @@
 import org.tanagerhinge.core.message.Frame;
 import org.tanagerhinge.core.message.Load;
 import org.tanagerhinge.core.result.Refusal;
-import org.tanagerhinge.core.router.Arrival;
-import org.tanagerhinge.core.router.Outcome;
+import org.tanagerhinge.core.router.ExchangeOutcome;
+import org.tanagerhinge.core.router.IncomingRequest;
 import org.tanagerhinge.core.router.RouterPort;
 import org.tanagerhinge.wire.FrameEncoder;
 
@@ -67,7 +67,7 @@
         public void claim(long sequence, ClaimEntry wanted, long expectedGeneration) {}
 
         @Override
-        public void release(ClaimEntry claim) {}
+        public void releaseClaim(ClaimEntry claim) {}
 
         @Override
         public void send(ServerId server, Frame.FromRouter frame) {
@@ -86,10 +86,10 @@
         public void unlink(ServerId server) {}
 
         @Override
-        public void head(RequestId request, int status, String contentType) {}
+        public void deliverHead(RequestId request, int status, String contentType) {}
 
         @Override
-        public void chunk(RequestId request, long units, byte[] data) {}
+        public void deliverChunk(RequestId request, long units, byte[] data) {}
 
         @Override
         public void complete(RequestId request, String finishReason, long units) {}
@@ -98,13 +98,13 @@
         public void refuse(RequestId request, Refusal refusal) {}
 
         @Override
-        public void ended(Outcome outcome) {}
+        public void exchangeEnded(ExchangeOutcome outcome) {}
 
         @Override
-        public void count(String reason) {}
+        public void countDecision(String reason) {}
 
         @Override
-        public void applied(ClusterConfig config) {}
+        public void configApplied(ClusterConfig config) {}
     }
 
     /** Takes what an agent sends and counts its bytes. */
@@ -189,8 +189,8 @@
         return new Load(20, 24, List.of(0L, 120L, 0L, 0L, 300L, 0L), 1800, 900, 38, 4, true);
     }
 
-    static Arrival arrival(int number, int workspace) {
-        return new Arrival(
+    static IncomingRequest arrival(int number, int workspace) {
+        return new IncomingRequest(
                 RequestId.of("router-1-0123456789abcdef-" + number),
                 KeyDigest.sha256Hex(key(workspace)),
                 "chat",
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/StreamCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/StreamCost.java
@@ -50,12 +50,12 @@
         }
         long before = Probe.heapBytes();
         for (int i = 0; i < STREAMS; i++) {
-            core.onArrival(Fixture.arrival(i, i % 10));
+            core.onRequest(Fixture.arrival(i, i % 10));
         }
         port.submits.clear();
         long after = Probe.heapBytes();
-        if (core.inProgress() != STREAMS) {
-            throw new IllegalStateException("only " + core.inProgress() + " requests are open");
+        if (core.inFlight() != STREAMS) {
+            throw new IllegalStateException("only " + core.inFlight() + " requests are open");
         }
         return (after - before) / 1000.0 / STREAMS;
     }
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimCall.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimCall.java
@@ -9,7 +9,7 @@
 import org.tanagerhinge.core.message.Call;
 import org.tanagerhinge.core.result.Refusal;
 import org.tanagerhinge.core.result.RunState;
-import org.tanagerhinge.core.router.Arrival;
+import org.tanagerhinge.core.router.IncomingRequest;
 
 /** One call of a simulated caller. It checks its answer, and repeats a keyed request whose fate it was not told. */
 final class SimCall {
@@ -51,11 +51,11 @@
         return readingTime;
     }
 
-    Arrival arrival() {
+    IncomingRequest arrival() {
         Call call = request.service()
                 ? new Call.ServiceCall("POST", "/" + request.number(), "text/plain", new byte[64])
                 : new Call.ModelCall(new byte[256]);
-        return new Arrival(
+        return new IncomingRequest(
                 id,
                 Simulation.KEY_HASH,
                 request.profile(),
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimRouter.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimRouter.java
@@ -15,7 +15,7 @@
 import org.tanagerhinge.core.message.ClaimEntry;
 import org.tanagerhinge.core.message.Frame;
 import org.tanagerhinge.core.result.Refusal;
-import org.tanagerhinge.core.router.Outcome;
+import org.tanagerhinge.core.router.ExchangeOutcome;
 import org.tanagerhinge.core.router.RouterCore;
 import org.tanagerhinge.core.router.RouterOptions;
 import org.tanagerhinge.core.router.RouterPort;
@@ -110,14 +110,14 @@
         calls.put(call.id(), call);
         deliver(life(), () -> {
             if (calls.get(call.id()) == call) {
-                core.onArrival(call.arrival());
+                core.onRequest(call.arrival());
             }
         });
     }
 
     void hangUp(SimCall call) {
         if (calls.remove(call.id()) != null) {
-            deliver(life(), () -> core.onCallerGone(call.id()));
+            deliver(life(), () -> core.onCallerDisconnected(call.id()));
         }
     }
 
@@ -197,7 +197,7 @@
     }
 
     @Override
-    public void release(ClaimEntry claim) {
+    public void releaseClaim(ClaimEntry claim) {
         sim.store.releaseFor(claim);
     }
 
@@ -217,7 +217,7 @@
     }
 
     @Override
-    public void head(RequestId request, int status, String contentType) {
+    public void deliverHead(RequestId request, int status, String contentType) {
         SimCall call = calls.get(request);
         if (call != null) {
             call.head();
@@ -225,12 +225,12 @@
     }
 
     @Override
-    public void chunk(RequestId request, long units, byte[] data) {
+    public void deliverChunk(RequestId request, long units, byte[] data) {
         SimCall call = calls.get(request);
         if (call != null) {
             call.piece(data);
             int ofLife = life();
-            sim.timeline.after(call.readingTime(), () -> deliver(ofLife, () -> core.onCallerTook(request, units)));
+            sim.timeline.after(call.readingTime(), () -> deliver(ofLife, () -> core.onCallerConsumed(request, units)));
         }
     }
 
@@ -251,17 +251,17 @@
     }
 
     @Override
-    public void ended(Outcome outcome) {
-        sim.timeline.log(() -> name + " ended " + outcome.request() + " " + outcome.code() + " " + outcome.run());
+    public void exchangeEnded(ExchangeOutcome outcome) {
+        sim.timeline.log(() -> name + " ended " + outcome.request() + " " + outcome.code() + " " + outcome.runState());
     }
 
     @Override
-    public void count(String reason) {
+    public void countDecision(String reason) {
         sim.counted(reason);
     }
 
     @Override
-    public void applied(ClusterConfig config) {
+    public void configApplied(ClusterConfig config) {
         sim.checks.check(
                 Promise.CONFIG_FORWARD,
                 !config.revision().behind(applied),
--- a/node/src/main/java/org/tanagerhinge/node/daemon/RequestLog.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/RequestLog.java
@@ -5,7 +5,7 @@
 import org.tanagerhinge.core.id.ServerId;
 import org.tanagerhinge.core.result.ResultCode;
 import org.tanagerhinge.core.result.RunState;
-import org.tanagerhinge.core.router.Outcome;
+import org.tanagerhinge.core.router.ExchangeOutcome;
 import org.tanagerhinge.node.log.LogEvent;
 import org.tanagerhinge.node.log.LogField;
 import org.tanagerhinge.node.log.LogLine;
@@ -35,7 +35,7 @@
     }
 
     /** Logs how a request ended. */
-    public static void ended(Outcome outcome) {
+    public static void ended(ExchangeOutcome outcome) {
         boolean whole = outcome.code() == ResultCode.OK;
         LogLine.of(whole ? LogEvent.ENDED : LogEvent.REFUSED, !whole)
                 .with(LogField.ID, outcome.request().value())
@@ -43,10 +43,10 @@
                 .with(LogField.PROFILE, outcome.profile().value())
                 .with(LogField.STATUS, outcome.code().httpStatus())
                 .with(LogField.CODE, outcome.code().number())
-                .with(LogField.RUN, outcome.run().word())
+                .with(LogField.RUN, outcome.runState().word())
                 .with(LogField.UNITS, outcome.units())
-                .with(LogField.ATTEMPT, outcome.attempts())
-                .with(LogField.MS, outcome.whole().toMillis())
+                .with(LogField.ATTEMPT, outcome.attemptCount())
+                .with(LogField.MS, outcome.totalTime().toMillis())
                 .write();
     }
 }
--- a/router/src/main/java/org/tanagerhinge/router/CallerHandler.java
+++ b/router/src/main/java/org/tanagerhinge/router/CallerHandler.java
@@ -21,7 +21,7 @@
 import org.tanagerhinge.core.message.Call;
 import org.tanagerhinge.core.result.Refusal;
 import org.tanagerhinge.core.result.ResultCode;
-import org.tanagerhinge.core.router.Arrival;
+import org.tanagerhinge.core.router.IncomingRequest;
 
 /** Reads callers' requests and opens a session for each. */
 final class CallerHandler extends Handler.Abstract {
@@ -143,7 +143,7 @@
         return endPoint instanceof SocketChannelEndPoint socket ? Optional.of(socket.getChannel()) : Optional.empty();
     }
 
-    private record Parsed(Arrival arrival, AnswerFormat format) {}
+    private record Parsed(IncomingRequest arrival, AnswerFormat format) {}
 
     private static Parsed parseCompletion(RequestId id, Request request, byte[] body) throws MalformedCallException {
         CompletionCall call = CompletionCall.parse(body);
@@ -151,7 +151,7 @@
         AnswerFormat format = call.stream()
                 ? new AnswerFormat.Streamed(id, call.model(), created)
                 : new AnswerFormat.Whole(id, call.model(), created, call.promptUnits());
-        Arrival arrival = new Arrival(
+        IncomingRequest arrival = new IncomingRequest(
                 id,
                 keyHash(request),
                 header(request, PROFILE_HEADER).orElse(""),
@@ -178,7 +178,7 @@
         String query = request.getHttpURI().getQuery();
         String full = query == null ? servicePath : servicePath + "?" + query;
         String type = header(request, HttpHeader.CONTENT_TYPE.asString()).orElse("application/octet-stream");
-        Arrival arrival = new Arrival(
+        IncomingRequest arrival = new IncomingRequest(
                 id,
                 keyHash(request),
                 header(request, PROFILE_HEADER).orElse(""),
--- a/router/src/main/java/org/tanagerhinge/router/RouterDaemon.java
+++ b/router/src/main/java/org/tanagerhinge/router/RouterDaemon.java
@@ -34,8 +34,8 @@
 import org.tanagerhinge.core.result.ResultCode;
 import org.tanagerhinge.core.result.RunState;
 import org.tanagerhinge.core.result.TanagerhingeException;
-import org.tanagerhinge.core.router.Arrival;
-import org.tanagerhinge.core.router.Outcome;
+import org.tanagerhinge.core.router.ExchangeOutcome;
+import org.tanagerhinge.core.router.IncomingRequest;
 import org.tanagerhinge.core.router.RouterCore;
 import org.tanagerhinge.core.router.RouterOptions;
 import org.tanagerhinge.core.router.RouterPort;
@@ -146,9 +146,9 @@
     }
 
     private void gauges() {
-        metrics.gauge("requests_in_progress", "Requests in progress", () -> control.ask(core::inProgress));
-        metrics.gauge("links", "Agents connected", () -> control.ask(core::links));
-        metrics.gauge("servers_ejected", "Servers left alone for being slow", () -> control.ask(core::ejected));
+        metrics.gauge("requests_in_progress", "Requests in progress", () -> control.ask(core::inFlight));
+        metrics.gauge("links", "Agents connected", () -> control.ask(core::linkedAgents));
+        metrics.gauge("servers_ejected", "Servers left alone for being slow", () -> control.ask(core::ejectedServers));
         metrics.gauge(
                 "config_revision",
                 "Revision of the profiles document",
@@ -166,7 +166,7 @@
         if (control.ask(core::stopping)) {
             return Page.text(503, "stopping\n");
         }
-        return control.ask(core::links) == 0
+        return control.ask(core::linkedAgents) == 0
                 ? Page.text(503, "no agent is connected yet\n")
                 : Page.text(200, "ready\n");
     }
@@ -178,7 +178,7 @@
 
     /** Returns the number of agents connected. */
     public int linkCount() {
-        return control.ask(core::links);
+        return control.ask(core::linkedAgents);
     }
 
     /** Returns the number of requests whose answers are not written to the end. */
@@ -212,13 +212,13 @@
                 channel,
                 () -> control.post(() -> {
                     metrics.count("caller_hung_up");
-                    core.onCallerGone(id);
+                    core.onCallerDisconnected(id);
                 }));
     }
 
-    void arrived(Arrival arrival, CallerSession session) {
+    void arrived(IncomingRequest arrival, CallerSession session) {
         callers.arrived(arrival.id(), session);
-        control.post(() -> core.onArrival(arrival));
+        control.post(() -> core.onRequest(arrival));
     }
 
     void countRefusal(Refusal refusal) {
@@ -248,12 +248,12 @@
     private final class CallerProgress implements CallerSession.Progress {
         @Override
         public void took(RequestId request, long units) {
-            control.post(() -> core.onCallerTook(request, units));
+            control.post(() -> core.onCallerConsumed(request, units));
         }
 
         @Override
         public void gone(RequestId request) {
-            control.post(() -> core.onCallerGone(request));
+            control.post(() -> core.onCallerDisconnected(request));
         }
 
         @Override
@@ -324,7 +324,7 @@
         }
 
         @Override
-        public void release(ClaimEntry claim) {
+        public void releaseClaim(ClaimEntry claim) {
             claims.release(claim);
         }
 
@@ -356,12 +356,12 @@
         }
 
         @Override
-        public void head(RequestId request, int status, String contentType) {
+        public void deliverHead(RequestId request, int status, String contentType) {
             callers.session(request).ifPresent(session -> session.head(status, contentType));
         }
 
         @Override
-        public void chunk(RequestId request, long units, byte[] data) {
+        public void deliverChunk(RequestId request, long units, byte[] data) {
             callers.session(request).ifPresent(session -> session.piece(units, data));
         }
 
@@ -376,25 +376,25 @@
         }
 
         @Override
-        public void ended(Outcome outcome) {
+        public void exchangeEnded(ExchangeOutcome outcome) {
             callers.finished(outcome.request()).ifPresent(CallerSession::abandon);
             metrics.result(outcome.profile().value(), outcome.code().number());
             if (outcome.code().number() == 0) {
                 Duration between = outcome.units() > 1
-                        ? outcome.whole().minus(outcome.firstOutput()).dividedBy(outcome.units() - 1)
+                        ? outcome.totalTime().minus(outcome.timeToFirstOutput()).dividedBy(outcome.units() - 1)
                         : Duration.ZERO;
-                metrics.times(outcome.profile().value(), outcome.firstOutput(), between, outcome.whole());
+                metrics.times(outcome.profile().value(), outcome.timeToFirstOutput(), between, outcome.totalTime());
             }
             RequestLog.ended(outcome);
         }
 
         @Override
-        public void count(String reason) {
+        public void countDecision(String reason) {
             metrics.count(reason);
         }
 
         @Override
-        public void applied(ClusterConfig applied) {
+        public void configApplied(ClusterConfig applied) {
             config = applied;
             LogLine.of(LogEvent.CONFIGURATION)
                     .with(LogField.CONFIG, applied.revision().toString())
--- a/router/src/main/java/org/tanagerhinge/router/RouterSettings.java
+++ b/router/src/main/java/org/tanagerhinge/router/RouterSettings.java
@@ -67,8 +67,8 @@
 
     static RouterOptions options(Settings settings) {
         return RouterOptions.defaults(settings.value(DOMAIN))
-                .withLinksPerTarget(settings.value(LINKS))
-                .withMostExchanges(settings.value(MOST_REQUESTS));
+                .withMaxLinksPerTarget(settings.value(LINKS))
+                .withMaxExchanges(settings.value(MOST_REQUESTS));
     }
 
     /** Returns a polling interval at which all routers together make a fixed number of calls, a second at the least. */
