--- a/core/src/main/java/org/tanagerhinge/core/relay/Admission.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/AdmissionControl.java
@@ -14,7 +14,7 @@
  * <p>The decision needs no agreement of the nodes: the wait is that of one engine, made of what all nodes have sent there, and
  * ends as soon as their next reports say that it is over.
  */
-public final class Admission {
+public final class AdmissionControl {
     /** Share of its target that a request may wait for the reading of prompts; the rest is its first tokens and the way. */
     private static final double WAIT_SHARE = 0.8;
     /**
@@ -29,7 +29,7 @@
     /** Largest share of the time that a caller has left that it is told to wait; callers don't wait longer. */
     private static final double MOST_RETRY_SHARE = 1.0 / 3;
 
-    private Admission() {}
+    private AdmissionControl() {}
 
     /** Returns the longest wait with which a request is still in time; infinite if its route has no target. */
     static double inTimeMillis(Route route) {
--- a/core/src/main/java/org/tanagerhinge/core/relay/DemandMeter.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/DemandEstimator.java
@@ -1,7 +1,7 @@
 package org.tanagerhinge.core.relay;
 
 /** Measures one node's demand for a service's engines; rates fade with a time constant. */
-public final class DemandMeter {
+public final class DemandEstimator {
     /** Time constant of the rates: long enough to smooth single long prompts, short enough to follow a burst. */
     private static final double FADE_MILLIS = 1_500;
 
@@ -25,13 +25,13 @@
     private double shortPrompt = FIRST_SHORT_PROMPT;
     private long last;
 
-    private DemandMeter(long now) {
+    private DemandEstimator(long now) {
         last = now;
     }
 
     /** Returns a meter that starts at a time in milliseconds. */
-    public static DemandMeter create(long now) {
-        return new DemandMeter(now);
+    public static DemandEstimator create(long now) {
+        return new DemandEstimator(now);
     }
 
     /** Notes a request that was sent, with the tokens that its server has to read. */
--- a/core/src/main/java/org/tanagerhinge/core/relay/Lanes.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/LaneSizing.java
@@ -9,7 +9,7 @@
  * nearly as fast as few, so the short lane is packed: it gets as few engines as hold its streams, and the long prompts get
  * the room.
  */
-public final class Lanes {
+public final class LaneSizing {
     /** Share of an engine's slots that short requests may fill: the rest absorbs what peers send unseen. */
     private static final double SLOTS_FILLED = 0.8;
     /** Part of the allowed pause that the reading of other prompts may fill; the rest are the steps themselves. */
@@ -21,7 +21,7 @@
     /** Share of the engines that the short lane may take in a shortage if its requests are the more urgent ones. */
     private static final double MOST_URGENT = 0.7;
 
-    private Lanes() {}
+    private LaneSizing() {}
 
     /**
      * Returns the number of engines for short prompts.
@@ -31,7 +31,7 @@
      * @param tokensPerMilli prompt tokens that one reads in a millisecond
      * @param shortReading share of an engine's time that the reading of short prompts may take
      * @param shortFirst whether short requests are more urgent than long ones: in a shortage they get what they need, and
-     *     what is over of the long ones is turned away ({@link Admission}); otherwise both get less
+     *     what is over of the long ones is turned away ({@link AdmissionControl}); otherwise both get less
      */
     public static int shortEngines(
             int engines, int slots, LaneDemand demand, double tokensPerMilli, double shortReading, boolean shortFirst) {
--- a/core/src/main/java/org/tanagerhinge/core/relay/LeastInFlight.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/LeastInFlightPlacement.java
@@ -4,43 +4,43 @@
 import java.util.Optional;
 
 /** The plain policy that the product is compared with: the server with the fewest of this node's requests. */
-public final class LeastInFlight implements Placement {
+public final class LeastInFlightPlacement implements PlacementPolicy {
     private int turn;
 
-    private LeastInFlight() {}
+    private LeastInFlightPlacement() {}
 
     /** Returns the policy. */
-    public static LeastInFlight create() {
-        return new LeastInFlight();
+    public static LeastInFlightPlacement create() {
+        return new LeastInFlightPlacement();
     }
 
     @Override
-    public Optional<Placed> place(PlacementRequest request, List<RelayServer> candidates, long now) {
-        RelayServer best = null;
+    public Optional<Decision> place(PlacementRequest request, List<ServerInstance> candidates, long now) {
+        ServerInstance best = null;
         int size = candidates.size();
         turn++;
         for (int i = 0; i < size; i++) {
-            RelayServer server = candidates.get(Math.floorMod(i + turn, size));
+            ServerInstance server = candidates.get(Math.floorMod(i + turn, size));
             if (best == null || server.running() < best.running()) {
                 best = server;
             }
         }
         return Optional.ofNullable(best)
-                .map(server -> Placed.plain(server, request.prompt().inputTokens()));
+                .map(server -> Decision.plain(server, request.prompt().inputTokens()));
     }
 
     @Override
-    public void sent(PlacementRequest request, Placed placed, long now) {
+    public void sent(PlacementRequest request, Decision placed, long now) {
         // The plain policy keeps no account of prompts.
     }
 
     @Override
-    public void read(PlacementRequest request, Placed placed, long millis) {
+    public void read(PlacementRequest request, Decision placed, long millis) {
         // The plain policy doesn't look at how fast servers read.
     }
 
     @Override
-    public void ended(PlacementRequest request, Placed placed, long now) {
+    public void ended(PlacementRequest request, Decision placed, long now) {
         // The plain policy keeps no account of prompts.
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/PeerReport.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PeerReport.java
@@ -26,8 +26,8 @@
         long serversAgeMillis,
         long serversDigest,
         long intervalMillis,
-        Map<String, Use> uses,
+        Map<String, InstanceLoad> uses,
         Map<String, LaneDemand> demands) {
     /** Requests in progress at a backend server, and prompt tokens that it still has to read for them. */
-    public record Use(int running, long promptTokens) {}
+    public record InstanceLoad(int running, long promptTokens) {}
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/PeerTable.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PeerTable.java
@@ -76,7 +76,7 @@
     }
 
     /** Returns what a peer told last that it has in progress, by the life of the server; nothing if it isn't present. */
-    public Map<String, PeerReport.Use> uses(String name, long now) {
+    public Map<String, PeerReport.InstanceLoad> uses(String name, long now) {
         Peer peer = peers.get(name);
         return peer != null && present(peer, now) ? peer.report().uses() : Map.of();
     }
@@ -132,8 +132,8 @@
     }
 
     /** Returns what the present peers have in progress, added up by backend server. */
-    public Map<String, PeerReport.Use> uses(long now) {
-        Map<String, PeerReport.Use> sums = new HashMap<>();
+    public Map<String, PeerReport.InstanceLoad> uses(long now) {
+        Map<String, PeerReport.InstanceLoad> sums = new HashMap<>();
         for (Peer peer : peers.values()) {
             if (present(peer, now)) {
                 peer.report().uses().forEach((server, use) -> sums.merge(server, use, PeerTable::plus));
@@ -142,8 +142,8 @@
         return sums;
     }
 
-    private static PeerReport.Use plus(PeerReport.Use a, PeerReport.Use b) {
-        return new PeerReport.Use(a.running() + b.running(), a.promptTokens() + b.promptTokens());
+    private static PeerReport.InstanceLoad plus(PeerReport.InstanceLoad a, PeerReport.InstanceLoad b) {
+        return new PeerReport.InstanceLoad(a.running() + b.running(), a.promptTokens() + b.promptTokens());
     }
 
     /** Returns what the present peers' callers ask, added up by service. */
--- a/core/src/main/java/org/tanagerhinge/core/relay/Placement.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PlacementPolicy.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /** A policy that chooses the backend server of a request. */
-public interface Placement {
+public interface PlacementPolicy {
     /**
      * Chooses a server.
      *
@@ -14,22 +14,22 @@
      * @param now time in milliseconds
      * @return the server, with the prompt tokens that it is expected to read; empty if there is none to send to
      */
-    Optional<Placed> place(PlacementRequest request, List<RelayServer> candidates, long now);
+    Optional<Decision> place(PlacementRequest request, List<ServerInstance> candidates, long now);
 
     /** Notes that a request is sent to the server that was chosen for it. */
-    void sent(PlacementRequest request, Placed placed, long now);
+    void sent(PlacementRequest request, Decision placed, long now);
 
     /** Notes that a server has read a prompt: its first output came some milliseconds after it was sent. */
-    void read(PlacementRequest request, Placed placed, long millis);
+    void read(PlacementRequest request, Decision placed, long millis);
 
     /** Notes that a request that was sent has ended, whichever way. */
-    void ended(PlacementRequest request, Placed placed, long now);
+    void ended(PlacementRequest request, Decision placed, long now);
 
     /** Takes the tightest pause between events that a route allows, in milliseconds; 0 if none states one. */
     default void tightestPause(long millis) {}
 
     /** Notes that another node gave an engine parts of a prompt to read, at a time in milliseconds. */
-    default void kept(RelayServer server, ServiceTerms service, List<PromptPart> parts, long now) {}
+    default void kept(ServerInstance server, ServiceConfig service, List<PromptPart> parts, long now) {}
 
     /** Forgets what is known of a life of a server that has ended. */
     default void forget(String life) {}
@@ -52,26 +52,26 @@
      * @param waitMillis expected time until its first output, as far as it is the reading of prompts
      * @param fetch what the server should fetch from another one in place of reading it
      */
-    record Placed(
-            RelayServer server,
+    record Decision(
+            ServerInstance server,
             int tokensToRead,
             int step,
             boolean longPrompt,
             double waitMillis,
-            Optional<Fetch> fetch) {
+            Optional<PrefixFetch> fetch) {
         /** Returns a choice that was made without regard to what is to be read before a request, and in which order. */
-        static Placed plain(RelayServer server, int tokensToRead) {
-            return new Placed(server, tokensToRead, 0, false, 0, Optional.empty());
+        static Decision plain(ServerInstance server, int tokensToRead) {
+            return new Decision(server, tokensToRead, 0, false, 0, Optional.empty());
         }
 
         /** Returns the same choice with a place in the order of reading. */
-        Placed at(int newStep) {
-            return new Placed(server, tokensToRead, newStep, longPrompt, waitMillis, fetch);
+        Decision at(int newStep) {
+            return new Decision(server, tokensToRead, newStep, longPrompt, waitMillis, fetch);
         }
 
         /** Returns the same choice with a fetch, and what is still to be read then. */
-        Placed fetching(Fetch newFetch, int newTokensToRead) {
-            return new Placed(server, newTokensToRead, step, longPrompt, waitMillis, Optional.of(newFetch));
+        Decision fetching(PrefixFetch newFetch, int newTokensToRead) {
+            return new Decision(server, newTokensToRead, step, longPrompt, waitMillis, Optional.of(newFetch));
         }
     }
 
@@ -80,5 +80,5 @@
      *
      * @param tokens prompt tokens that it lacks and the other one has read
      */
-    record Fetch(RelayServer from, int tokens) {}
+    record PrefixFetch(ServerInstance from, int tokens) {}
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/PlacementRequest.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PlacementRequest.java
@@ -5,4 +5,4 @@
  *
  * @param domain failure domain of the node that sends
  */
-public record PlacementRequest(Route route, ServiceTerms service, Prompt prompt, String domain) {}
+public record PlacementRequest(Route route, ServiceConfig service, Prompt prompt, String domain) {}
--- a/core/src/main/java/org/tanagerhinge/core/relay/ReadingOrder.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PrefillOrder.java
@@ -12,7 +12,7 @@
  * prompt's worth grows with its whole size, of which the engine may hold a part already, so a large prompt of which
  * little is to be read goes before a small one that is new.
  */
-final class ReadingOrder {
+final class PrefillOrder {
     /** Steps within a rank. More than engines have levels for bring nothing, fewer let large prompts hold up small ones. */
     static final int STEPS = 5;
     /**
@@ -31,10 +31,10 @@
 
     private final Map<String, Double> meanSizes = new HashMap<>();
 
-    private ReadingOrder() {}
+    private PrefillOrder() {}
 
-    static ReadingOrder create() {
-        return new ReadingOrder();
+    static PrefillOrder create() {
+        return new PrefillOrder();
     }
 
     /**
--- a/core/src/main/java/org/tanagerhinge/core/relay/SpeedMeter.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PrefillRateEstimator.java
@@ -6,7 +6,7 @@
  * <p>A time to first event includes waiting, so slow readings say little and fast ones much: the estimate follows faster
  * readings quickly and slower ones slowly.
  */
-public final class SpeedMeter {
+public final class PrefillRateEstimator {
     /** Prompts below this tell more of the network than of reading, in tokens. */
     private static final int LEAST_TOKENS = 2_000;
 
@@ -19,13 +19,13 @@
     private double tokensPerMilli;
     private int readings;
 
-    private SpeedMeter(double first) {
+    private PrefillRateEstimator(double first) {
         tokensPerMilli = first;
     }
 
     /** Returns a meter that begins with a guess. */
-    public static SpeedMeter create(double first) {
-        return new SpeedMeter(first);
+    public static PrefillRateEstimator create(double first) {
+        return new PrefillRateEstimator(first);
     }
 
     /** Notes that a prompt's reading of some tokens took some time up to the first event. */
--- a/core/src/main/java/org/tanagerhinge/core/relay/PrefixHomes.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PrefixAffinity.java
@@ -10,34 +10,34 @@
  * read the same part. All nodes choose the same engine here without asking each other, the one that most likely still holds
  * the part, and the loss of an engine moves only the parts that belonged to it.
  */
-final class PrefixHomes {
+final class PrefixAffinity {
     /** Engines that a part belongs to: the second takes it while the first has too much to do. */
     private static final int HOMES = 2;
 
-    private final RelayServer[] homes = new RelayServer[HOMES];
+    private final ServerInstance[] homes = new ServerInstance[HOMES];
     private final long[] scores = new long[HOMES];
 
-    private PrefixHomes() {}
+    private PrefixAffinity() {}
 
     /** Returns the homes of a prompt's last shared part among some engines; none if nothing of it is shared. */
-    static PrefixHomes of(Prompt prompt, List<RelayServer> engines) {
-        PrefixHomes found = new PrefixHomes();
+    static PrefixAffinity of(Prompt prompt, List<ServerInstance> engines) {
+        PrefixAffinity found = new PrefixAffinity();
         int shared = prompt.parts().size() - 1;
         if (shared > 0) {
             long part = mix(prompt.parts().get(shared - 1).id().hashCode());
-            for (RelayServer engine : engines) {
+            for (ServerInstance engine : engines) {
                 found.offer(engine, mix(part ^ engine.id().hashCode()));
             }
         }
         return found;
     }
 
-    private void offer(RelayServer engine, long score) {
-        RelayServer candidate = engine;
+    private void offer(ServerInstance engine, long score) {
+        ServerInstance candidate = engine;
         long candidateScore = score;
         for (int i = 0; i < HOMES; i++) {
             if (homes[i] == null || candidateScore > scores[i]) {
-                RelayServer next = homes[i];
+                ServerInstance next = homes[i];
                 long nextScore = scores[i];
                 homes[i] = candidate;
                 scores[i] = candidateScore;
@@ -51,7 +51,7 @@
     }
 
     /** Returns the place of an engine among the homes, 0 for the first; -1 if it is none. */
-    int rank(RelayServer engine) {
+    int rank(ServerInstance engine) {
         for (int i = 0; i < HOMES; i++) {
             if (homes[i] == engine) {
                 return i;
--- a/core/src/main/java/org/tanagerhinge/core/relay/PrefixMemory.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PrefixCacheTracker.java
@@ -15,7 +15,7 @@
  * <p>A part is held for placing as soon as it was sent: who needs it goes where it is being read. It is there for another
  * engine to fetch only once it has been read, so that takes some time more.
  */
-public final class PrefixMemory {
+public final class PrefixCacheTracker {
     /** Share of an engine's memory that is taken to hold parts; the rest holds the requests that run. */
     private static final double SHARE = 0.8;
     /**
@@ -24,13 +24,13 @@
      */
     private static final long READ_MILLIS = 1_000;
 
-    private final Map<String, Held> byServer = new HashMap<>();
+    private final Map<String, ServerCache> byServer = new HashMap<>();
 
-    private PrefixMemory() {}
+    private PrefixCacheTracker() {}
 
     /** Returns a memory that holds nothing. */
-    public static PrefixMemory create() {
-        return new PrefixMemory();
+    public static PrefixCacheTracker create() {
+        return new PrefixCacheTracker();
     }
 
     /** Returns how many tokens at the start of a prompt a server should hold. */
@@ -44,13 +44,13 @@
     }
 
     private int held(String server, Prompt prompt, long sentUntil) {
-        Held held = byServer.get(server);
+        ServerCache held = byServer.get(server);
         if (held == null) {
             return 0;
         }
         int tokens = 0;
         for (PromptPart part : prompt.parts()) {
-            Kept kept = held.parts.get(part.id());
+            CachedPart kept = held.parts.get(part.id());
             if (kept == null || kept.since() > sentUntil) {
                 break;
             }
@@ -61,13 +61,13 @@
 
     /** Notes that a server was given a prompt's parts to read, at a time in milliseconds. */
     public void keep(String server, List<PromptPart> parts, long memoryTokens, long now) {
-        Held held = byServer.computeIfAbsent(server, id -> new Held());
+        ServerCache held = byServer.computeIfAbsent(server, id -> new ServerCache());
         for (PromptPart part : parts) {
-            Kept old = held.parts.remove(part.id());
+            CachedPart old = held.parts.remove(part.id());
             held.tokens += part.tokens() - (old == null ? 0 : old.tokens());
-            held.parts.put(part.id(), new Kept(part.tokens(), old == null ? now : old.since()));
+            held.parts.put(part.id(), new CachedPart(part.tokens(), old == null ? now : old.since()));
         }
-        Iterator<Map.Entry<String, Kept>> oldest = held.parts.entrySet().iterator();
+        Iterator<Map.Entry<String, CachedPart>> oldest = held.parts.entrySet().iterator();
         while (held.tokens > SHARE * memoryTokens && oldest.hasNext()) {
             held.tokens -= oldest.next().getValue().tokens();
             oldest.remove();
@@ -80,10 +80,10 @@
     }
 
     /** A part's size, and since when it is held. */
-    private record Kept(int tokens, long since) {}
+    private record CachedPart(int tokens, long since) {}
 
-    private static final class Held {
-        private final LinkedHashMap<String, Kept> parts = new LinkedHashMap<>();
+    private static final class ServerCache {
+        private final LinkedHashMap<String, CachedPart> parts = new LinkedHashMap<>();
         private long tokens;
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/Urgency.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PriorityLevels.java
@@ -1,11 +1,11 @@
 package org.tanagerhinge.core.relay;
 
 /** How urgent a request is at a backend server, by the rank of its kind, that of its workspace, and its step within both. */
-final class Urgency {
+final class PriorityLevels {
     /** Levels that backend servers tell apart, 0 first. */
     private static final int LEVELS = 10;
 
-    private Urgency() {}
+    private PriorityLevels() {}
 
     /**
      * Returns the level, 0 for the most urgent. No request goes behind one of a less urgent kind; where there are more kinds
@@ -17,7 +17,7 @@
      * @param kinds how many such ranks there are
      * @param workspace rank among those of workspaces, 0 is the most urgent
      * @param workspaces how many such ranks there are
-     * @param step within both, from 0 to {@link ReadingOrder#STEPS} - 1
+     * @param step within both, from 0 to {@link PrefillOrder#STEPS} - 1
      */
     static int level(int kind, int kinds, int workspace, int workspaces, int step) {
         if (kinds >= LEVELS) {
@@ -26,6 +26,6 @@
         int ofKind = LEVELS / Math.max(1, kinds);
         int first = workspace * ofKind / workspaces;
         int own = (workspace + 1) * ofKind / workspaces - first;
-        return kind * ofKind + first + step * Math.min(own, ReadingOrder.STEPS) / ReadingOrder.STEPS;
+        return kind * ofKind + first + step * Math.min(own, PrefillOrder.STEPS) / PrefillOrder.STEPS;
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/PromptAware.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PromptAwarePlacement.java
@@ -11,7 +11,7 @@
  * The product's policy: engines by what they still have to read and what they hold already, in two lanes; plain servers
  * by requests in progress.
  */
-public final class PromptAware implements Placement {
+public final class PromptAwarePlacement implements PlacementPolicy {
     /** Reading speed taken until one was measured, in tokens a millisecond. */
     private static final double FIRST_SPEED = 50;
     /** A prompt is long if reading it takes more than this share of the tightest pause that routes allow. */
@@ -44,27 +44,27 @@
     private static final double NEWEST = 0.02;
 
     private final Set<Mechanism> off;
-    private final PrefixMemory memory = PrefixMemory.create();
-    private final Map<String, DemandMeter> meters = new HashMap<>();
+    private final PrefixCacheTracker memory = PrefixCacheTracker.create();
+    private final Map<String, DemandEstimator> meters = new HashMap<>();
     private Map<String, LaneDemand> peers = Map.of();
-    private final ReadingOrder order = ReadingOrder.create();
-    private final SpeedMeter speed = SpeedMeter.create(FIRST_SPEED);
+    private final PrefillOrder order = PrefillOrder.create();
+    private final PrefillRateEstimator speed = PrefillRateEstimator.create(FIRST_SPEED);
     private long tightestPause = FIRST_PAUSE_MILLIS;
     private double meanReading = FIRST_READING;
     private int turn;
 
-    private PromptAware(Set<Mechanism> off) {
+    private PromptAwarePlacement(Set<Mechanism> off) {
         this.off = off;
     }
 
     /** Returns the policy, which knows nothing of any server yet. */
-    public static PromptAware create() {
+    public static PromptAwarePlacement create() {
         return without(Set.of());
     }
 
     /** Returns the policy with some mechanisms switched off, for experiments. */
-    public static PromptAware without(Set<Mechanism> off) {
-        return new PromptAware(off);
+    public static PromptAwarePlacement without(Set<Mechanism> off) {
+        return new PromptAwarePlacement(off);
     }
 
     @Override
@@ -77,8 +77,8 @@
         return tokens > LONG_SHARE * tightestPause * speed.tokensPerMilli();
     }
 
-    private DemandMeter meter(String service, long now) {
-        return meters.computeIfAbsent(service, name -> DemandMeter.create(now));
+    private DemandEstimator meter(String service, long now) {
+        return meters.computeIfAbsent(service, name -> DemandEstimator.create(now));
     }
 
     @Override
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void kept(RelayServer server, ServiceTerms service, List<PromptPart> parts, long now) {
+    public void kept(ServerInstance server, ServiceConfig service, List<PromptPart> parts, long now) {
         memory.keep(server.life(), parts, service.memoryTokens(), now);
     }
 
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public Optional<Placed> place(PlacementRequest request, List<RelayServer> candidates, long now) {
+    public Optional<Decision> place(PlacementRequest request, List<ServerInstance> candidates, long now) {
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
@@ -113,8 +113,8 @@
             return Optional.of(leastBusy(request, candidates));
         }
         boolean longPrompt = isLong(request.prompt().inputTokens());
-        List<RelayServer> lane = lane(request, longPrompt, candidates, now);
-        Placed best = best(request, lane, longPrompt);
+        List<ServerInstance> lane = lane(request, longPrompt, candidates, now);
+        Decision best = best(request, lane, longPrompt);
         return Optional.of(inOrder(request, withFetch(request, best, candidates, now)));
     }
 
@@ -127,9 +127,9 @@
      * parts have different homes spreads the load without nodes choosing the same engine on the same old reports. Only where a
      * prompt can't be in time at any of these it may go to all engines of the lane at which it can be.
      */
-    private Placed best(PlacementRequest request, List<RelayServer> lane, boolean longPrompt) {
+    private Decision best(PlacementRequest request, List<ServerInstance> lane, boolean longPrompt) {
         Prompt prompt = request.prompt();
-        PrefixHomes homes = PrefixHomes.of(prompt, lane);
+        PrefixAffinity homes = PrefixAffinity.of(prompt, lane);
         int shared = prompt.sharedTokens();
         int[] held = new int[lane.size()];
         boolean heldByAny = false;
@@ -139,25 +139,25 @@
         }
         boolean restricted =
                 !off.contains(Mechanism.HOLDERS_ONLY) && (heldByAny || !off.contains(Mechanism.PREFIX_HOMES));
-        Placed best = null;
+        Decision best = null;
         double bestCost = 0;
-        Placed inTime = null;
+        Decision inTime = null;
         double inTimeCost = 0;
-        double mostWait = Admission.inTimeMillis(request.route());
+        double mostWait = AdmissionControl.inTimeMillis(request.route());
         for (int i = 0; i < held.length; i++) {
             int at = Math.floorMod(i + turn, held.length);
-            RelayServer server = lane.get(at);
+            ServerInstance server = lane.get(at);
             int home = off.contains(Mechanism.PREFIX_HOMES) ? -1 : homes.rank(server);
             int toRead = Math.max(1, prompt.inputTokens() - held[at]);
             double cost = cost(request, server, toRead) - (heldByAny ? 0 : preference(home, shared));
             double wait = waitMillis(server, toRead);
             boolean allowed = !restricted || held[at] >= shared || home >= 0;
             if (allowed && (best == null || cost < bestCost)) {
-                best = new Placed(server, toRead, 0, longPrompt, wait, Optional.empty());
+                best = new Decision(server, toRead, 0, longPrompt, wait, Optional.empty());
                 bestCost = cost;
             }
             if (wait <= mostWait && (inTime == null || cost < inTimeCost)) {
-                inTime = new Placed(server, toRead, 0, longPrompt, wait, Optional.empty());
+                inTime = new Decision(server, toRead, 0, longPrompt, wait, Optional.empty());
                 inTimeCost = cost;
             }
         }
@@ -169,7 +169,7 @@
      * the part of what is to be read there that is in smaller pieces: half of it for one of the usual size. 0 until engines'
      * speed was measured: a node that has just started would turn callers away for a guess.
      */
-    private double waitMillis(RelayServer server, int toRead) {
+    private double waitMillis(ServerInstance server, int toRead) {
         if (!speed.measured()) {
             return 0;
         }
@@ -181,7 +181,7 @@
      * Adds to a choice what the engine should fetch. It changes no choice: that a fetch costs little must not make a prompt
      * leave the engines that hold its parts, since every copy takes memory from other parts.
      */
-    private Placed withFetch(PlacementRequest request, Placed placed, List<RelayServer> candidates, long now) {
+    private Decision withFetch(PlacementRequest request, Decision placed, List<ServerInstance> candidates, long now) {
         if (off.contains(Mechanism.FETCH)) {
             return placed;
         }
@@ -190,8 +190,8 @@
             return placed;
         }
         int most = here + LEAST_FETCH - 1;
-        RelayServer source = null;
-        for (RelayServer server : candidates) {
+        ServerInstance source = null;
+        for (ServerInstance server : candidates) {
             int there = memory.read(server.life(), request.prompt(), now);
             if (server != placed.server() && there > most) {
                 source = server;
@@ -207,10 +207,10 @@
             return placed;
         }
         int toRead = Math.max(1, placed.tokensToRead() - (int) ((1 - share) * tokens));
-        return placed.fetching(new Fetch(source, tokens), toRead);
+        return placed.fetching(new PrefixFetch(source, tokens), toRead);
     }
 
-    private int held(RelayServer server, Prompt prompt) {
+    private int held(ServerInstance server, Prompt prompt) {
         return off.contains(Mechanism.PREFIX_MEMORY) ? 0 : memory.held(server.life(), prompt);
     }
 
@@ -219,7 +219,7 @@
         return home < 0 ? 0 : HOME_WEIGHT * sharedTokens / (home + 1);
     }
 
-    private Placed inOrder(PlacementRequest request, Placed placed) {
+    private Decision inOrder(PlacementRequest request, Decision placed) {
         if (off.contains(Mechanism.READING_ORDER)) {
             return placed;
         }
@@ -228,7 +228,7 @@
     }
 
     @Override
-    public void sent(PlacementRequest request, Placed placed, long now) {
+    public void sent(PlacementRequest request, Decision placed, long now) {
         if (!request.service().engines()) {
             return;
         }
@@ -237,7 +237,7 @@
                 request.prompt().sharedParts(),
                 request.service().memoryTokens(),
                 now);
-        DemandMeter meter = meter(request.service().name(), now);
+        DemandEstimator meter = meter(request.service().name(), now);
         meter.sent(placed.longPrompt(), placed.tokensToRead(), now);
         meter.rank(placed.longPrompt(), request.route().priority(), now);
         if (placed.longPrompt()) {
@@ -246,7 +246,7 @@
     }
 
     @Override
-    public void read(PlacementRequest request, Placed placed, long millis) {
+    public void read(PlacementRequest request, Decision placed, long millis) {
         // Shared parts may be held though nobody here knows of it, after a restart above all. Were they counted as
         // read, an
         // engine would seem many times as fast as it is, and large prompts would count as short ones.
@@ -254,13 +254,13 @@
     }
 
     @Override
-    public void ended(PlacementRequest request, Placed placed, long now) {
+    public void ended(PlacementRequest request, Decision placed, long now) {
         if (request.service().engines() && !placed.longPrompt()) {
             meter(request.service().name(), now).shortEnded();
         }
     }
 
-    private double cost(PlacementRequest request, RelayServer server, int toRead) {
+    private double cost(PlacementRequest request, ServerInstance server, int toRead) {
         double cost = server.promptTokensOfAll() + READING_WEIGHT * toRead + RUNNING_TOKENS * server.runningOfAll();
         if (server.runningOfAll() >= server.slots()) {
             cost += (double) RUNNING_TOKENS * 10 * (server.runningOfAll() - server.slots() + 1);
@@ -272,25 +272,25 @@
      * Returns the engines of a request's lane. Candidates are in the order of their ids, so that all nodes agree on the
      * lanes without asking each other.
      */
-    private List<RelayServer> lane(
-            PlacementRequest request, boolean longPrompt, List<RelayServer> candidates, long now) {
+    private List<ServerInstance> lane(
+            PlacementRequest request, boolean longPrompt, List<ServerInstance> candidates, long now) {
         if (off.contains(Mechanism.LANES)) {
             return candidates;
         }
         String service = request.service().name();
         LaneDemand demand = meter(service, now).demand(now).plus(peers.getOrDefault(service, LaneDemand.NONE));
         double promptMillis = Math.max(1, meter(service, now).shortPrompt() / speed.tokensPerMilli());
-        int shortEngines = Lanes.shortEngines(
+        int shortEngines = LaneSizing.shortEngines(
                 candidates.size(),
                 request.service().slots(),
                 demand,
                 speed.tokensPerMilli(),
-                Lanes.shortReading(tightestPause, promptMillis),
+                LaneSizing.shortReading(tightestPause, promptMillis),
                 !off.contains(Mechanism.URGENT_LANE) && meter(service, now).shortMoreUrgent());
         if (shortEngines >= candidates.size()) {
             return candidates;
         }
-        List<RelayServer> own =
+        List<ServerInstance> own =
                 longPrompt ? candidates.subList(shortEngines, candidates.size()) : candidates.subList(0, shortEngines);
         boolean mayOverflow =
                 !longPrompt || request.route().priority() <= meter(service, now).urgentShort(now);
@@ -299,7 +299,7 @@
                 || !withPlace(own).isEmpty()) {
             return own;
         }
-        List<RelayServer> free = withPlace(candidates);
+        List<ServerInstance> free = withPlace(candidates);
         return free.isEmpty() ? candidates : free;
     }
 
@@ -309,9 +309,9 @@
      * long, however much there is to read. Long prompts that are less urgent than the short ones stay, though: in a long
      * burst they fill the long lane and would then fill the short one, whose streams pause for each of them.
      */
-    private static List<RelayServer> withPlace(List<RelayServer> lane) {
-        List<RelayServer> free = new ArrayList<>();
-        for (RelayServer server : lane) {
+    private static List<ServerInstance> withPlace(List<ServerInstance> lane) {
+        List<ServerInstance> free = new ArrayList<>();
+        for (ServerInstance server : lane) {
             if (server.runningOfAll() < server.slots()) {
                 free.add(server);
             }
@@ -319,11 +319,11 @@
         return free;
     }
 
-    private Placed leastBusy(PlacementRequest request, List<RelayServer> candidates) {
-        RelayServer best = null;
+    private Decision leastBusy(PlacementRequest request, List<ServerInstance> candidates) {
+        ServerInstance best = null;
         double bestCost = 0;
         for (int i = 0; i < candidates.size(); i++) {
-            RelayServer server = candidates.get(Math.floorMod(i + turn, candidates.size()));
+            ServerInstance server = candidates.get(Math.floorMod(i + turn, candidates.size()));
             double cost = server.runningOfAll() / (double) Math.max(1, server.slots())
                     + (server.domain().equals(request.domain()) ? 0 : 0.01);
             if (best == null || cost < bestCost) {
@@ -331,6 +331,6 @@
                 bestCost = cost;
             }
         }
-        return Placed.plain(best, 0);
+        return Decision.plain(best, 0);
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/RankGate.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/RankGate.java
@@ -18,7 +18,7 @@
     /** Overdue requests that show a shortage: one may be a lost answer, or a prompt of unusual size. */
     private static final int SHORTAGE = 2;
 
-    private final Map<String, Set<Waiting>> byServer = new HashMap<>();
+    private final Map<String, Set<PendingRequest>> byServer = new HashMap<>();
 
     private RankGate() {}
 
@@ -31,12 +31,12 @@
      * A request that was sent and has no output yet; no two are equal. It is no record, since linking the methods of a
      * record as a key takes 25 ms of a restarted process before its first request is sent.
      */
-    public static final class Waiting {
+    public static final class PendingRequest {
         private final String server;
         private final int rank;
         private final long dueAt;
 
-        private Waiting(String server, int rank, long dueAt) {
+        private PendingRequest(String server, int rank, long dueAt) {
             this.server = server;
             this.rank = rank;
             this.dueAt = dueAt;
@@ -49,19 +49,19 @@
          * @param rank 0 is the most urgent
          * @param dueAt time at which its first output is due, in milliseconds
          */
-        public static Waiting of(String server, int rank, long dueAt) {
-            return new Waiting(server, rank, dueAt);
+        public static PendingRequest of(String server, int rank, long dueAt) {
+            return new PendingRequest(server, rank, dueAt);
         }
     }
 
     /** Notes a request that was sent. */
-    public void sent(Waiting request) {
+    public void sent(PendingRequest request) {
         byServer.computeIfAbsent(request.server, life -> new HashSet<>()).add(request);
     }
 
     /** Notes that a request has output, or has ended. */
-    public void settled(Waiting request) {
-        Set<Waiting> waiting = byServer.get(request.server);
+    public void settled(PendingRequest request) {
+        Set<PendingRequest> waiting = byServer.get(request.server);
         if (waiting != null && waiting.remove(request) && waiting.isEmpty()) {
             byServer.remove(request.server);
         }
--- a/core/src/main/java/org/tanagerhinge/core/relay/RelayConfig.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/RelayConfig.java
@@ -12,8 +12,8 @@
 public final class RelayConfig {
     private final long version;
     private final Map<String, Map<String, Route>> routes = new HashMap<>();
-    private final Map<String, ServiceTerms> services = new HashMap<>();
-    private final Map<String, WorkspaceTerms> workspaces;
+    private final Map<String, ServiceConfig> services = new HashMap<>();
+    private final Map<String, WorkspaceConfig> workspaces;
     private final CallerLimits limits;
     private final List<Integer> workspaceRanks;
     private final List<Integer> routeRanks;
@@ -22,14 +22,14 @@
     private RelayConfig(
             long version,
             List<Route> routes,
-            List<ServiceTerms> services,
-            Map<String, WorkspaceTerms> workspaces,
+            List<ServiceConfig> services,
+            Map<String, WorkspaceConfig> workspaces,
             CallerLimits limits) {
         this.version = version;
         for (Route route : routes) {
             this.routes.computeIfAbsent(route.host(), host -> new HashMap<>()).put(route.prefix(), route);
         }
-        for (ServiceTerms service : services) {
+        for (ServiceConfig service : services) {
             this.services.put(service.name(), service);
         }
         this.workspaces = Map.copyOf(workspaces);
@@ -40,7 +40,7 @@
                 .sorted()
                 .toList();
         for (Route route : routes) {
-            for (ServiceShare share : route.shares()) {
+            for (WeightedService share : route.shares()) {
                 serviceRanks
                         .computeIfAbsent(share.service(), name -> new ArrayList<>())
                         .add(route.priority());
@@ -60,8 +60,8 @@
     public static RelayConfig of(
             long version,
             List<Route> routes,
-            List<ServiceTerms> services,
-            Map<String, WorkspaceTerms> workspaces,
+            List<ServiceConfig> services,
+            Map<String, WorkspaceConfig> workspaces,
             CallerLimits limits) {
         return new RelayConfig(version, routes, services, workspaces, limits);
     }
@@ -101,7 +101,7 @@
      * <p>The route's is the tier that is promised. Were the workspace's first, a long request of a preferred workspace would
      * run on where short, urgent ones of all others are preempted.
      */
-    public int rank(Optional<WorkspaceTerms> workspace, Route route) {
+    public int rank(Optional<WorkspaceConfig> workspace, Route route) {
         return kind(route, routeRanks) * workspaceCount() + standing(workspace);
     }
 
@@ -110,13 +110,13 @@
      *
      * @param step its place among the requests of its rank
      */
-    public int level(Optional<WorkspaceTerms> workspace, Route route, String service, int step) {
+    public int level(Optional<WorkspaceConfig> workspace, Route route, String service, int step) {
         List<Integer> kinds = serviceRanks.getOrDefault(service, routeRanks);
-        return Urgency.level(kind(route, kinds), kinds.size(), standing(workspace), workspaceCount(), step);
+        return PriorityLevels.level(kind(route, kinds), kinds.size(), standing(workspace), workspaceCount(), step);
     }
 
     /** Returns whether no request for a service may have a less urgent rank than one of a workspace on a route. */
-    public boolean leastUrgent(Optional<WorkspaceTerms> workspace, Route route, String service) {
+    public boolean leastUrgent(Optional<WorkspaceConfig> workspace, Route route, String service) {
         List<Integer> kinds = serviceRanks.getOrDefault(service, routeRanks);
         return kind(route, kinds) >= kinds.size() - 1 && standing(workspace) >= workspaceCount() - 1;
     }
@@ -125,8 +125,8 @@
         return Math.max(1, workspaceRanks.size());
     }
 
-    private int standing(Optional<WorkspaceTerms> workspace) {
-        OptionalInt own = workspace.map(WorkspaceTerms::priority).orElseGet(OptionalInt::empty);
+    private int standing(Optional<WorkspaceConfig> workspace) {
+        OptionalInt own = workspace.map(WorkspaceConfig::priority).orElseGet(OptionalInt::empty);
         return own.isPresent() ? workspaceRanks.indexOf(own.getAsInt()) : workspaceRanks.size() / 2;
     }
 
@@ -140,14 +140,14 @@
     }
 
     /** Returns the workspace that holds a key, if one does. */
-    public Optional<WorkspaceTerms> workspace(String key) {
+    public Optional<WorkspaceConfig> workspace(String key) {
         return Optional.ofNullable(workspaces.get(key));
     }
 
     /** Returns what the operators tell of a service; a plain service without bounds if they don't. */
-    public ServiceTerms service(String name) {
-        ServiceTerms terms = services.get(name);
-        return terms == null ? ServiceTerms.of(name, Integer.MAX_VALUE, 0, 0) : terms;
+    public ServiceConfig service(String name) {
+        ServiceConfig terms = services.get(name);
+        return terms == null ? ServiceConfig.of(name, Integer.MAX_VALUE, 0, 0) : terms;
     }
 
     /**
--- a/core/src/main/java/org/tanagerhinge/core/relay/ReportPace.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ReportSchedule.java
@@ -6,7 +6,7 @@
  * <p>Answers the cost of reports that each go to all peers: up to about 30 peers they are as fresh as with four, beyond that
  * the bound on a node's share of processor and link makes them older in proportion.
  */
-public final class ReportPace {
+public final class ReportSchedule {
     /** Time between two reports of a node whose load hardly changes: three must be lost before it counts as away. */
     private static final long CALM_MILLIS = 250;
     /** Least time between two reports of a node whose load changes: load that is older misplaces bursts. */
@@ -18,7 +18,7 @@
     /** Parts of prompts told in one report at the most: a report must fit into a datagram. */
     public static final int MOST_KEPT = 24;
 
-    private ReportPace() {}
+    private ReportSchedule() {}
 
     /** Returns the least time between two reports of a node with some peers, in milliseconds. */
     public static long leastMillis(int peers) {
--- a/core/src/main/java/org/tanagerhinge/core/relay/Route.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/Route.java
@@ -23,7 +23,7 @@
         String prefix,
         RouteKind kind,
         boolean resumable,
-        List<ServiceShare> shares,
+        List<WeightedService> shares,
         int maxAttempts,
         long timeoutMillis,
         long targetMillis,
@@ -51,14 +51,14 @@
      */
     public String service(int draw) {
         long total = 0;
-        for (ServiceShare share : shares) {
+        for (WeightedService share : shares) {
             total += share.weight();
         }
         if (total <= 0) {
             return shares.get(0).service();
         }
         long point = Math.floorMod((long) draw, total);
-        for (ServiceShare share : shares) {
+        for (WeightedService share : shares) {
             point -= share.weight();
             if (point < 0) {
                 return share.service();
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServerWords.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerAnnouncements.java
@@ -13,7 +13,7 @@
  * registration may lapse and come back meanwhile. So what it said is kept apart from the list of servers. It is bounded, and
  * lapses: a server that is still there long after it said that it leaves says so again in its next answer.
  */
-public final class ServerWords {
+public final class ServerAnnouncements {
     /** How long it is remembered that a server leaves: longer than one takes to do so, in milliseconds. */
     static final long LEAVING_MILLIS = 600_000;
     /** Servers whose words are remembered at the most; the oldest words make room. */
@@ -23,16 +23,16 @@
     /** Servers told in one report at the most. */
     static final int MOST_TOLD = 16;
 
-    private final Map<String, Word> words = new LinkedHashMap<>();
+    private final Map<String, Announcement> words = new LinkedHashMap<>();
 
-    private ServerWords() {}
+    private ServerAnnouncements() {}
 
     /** Returns the words of servers that have said nothing. */
-    public static ServerWords create() {
-        return new ServerWords();
+    public static ServerAnnouncements create() {
+        return new ServerAnnouncements();
     }
 
-    private static final class Word {
+    private static final class Announcement {
         private long leavingUntil = Long.MIN_VALUE;
         private long nothingUntil = Long.MIN_VALUE;
         private int tellings;
@@ -48,7 +48,7 @@
      * @return whether that is news
      */
     public boolean leaves(String life, long now) {
-        Word word = word(life);
+        Announcement word = word(life);
         boolean news = now >= word.leavingUntil;
         word.leavingUntil = now + LEAVING_MILLIS;
         if (news) {
@@ -72,32 +72,32 @@
 
     /** Notes that a server wants no requests of this node until a time. */
     public void wantsNothing(String life, long until) {
-        Word word = word(life);
+        Announcement word = word(life);
         word.nothingUntil = Math.max(word.nothingUntil, until);
     }
 
     /** Returns whether a server has said that it leaves. */
     public boolean leaving(String life, long now) {
-        Word word = words.get(life);
+        Announcement word = words.get(life);
         return word != null && now < word.leavingUntil;
     }
 
     /** Returns for how long a server wants nothing of this node, in milliseconds; 0 if it takes requests. */
     public long nothingMillis(String life, long now) {
-        Word word = words.get(life);
+        Announcement word = words.get(life);
         return word == null || now >= word.nothingUntil ? 0 : word.nothingUntil - now;
     }
 
     /** Returns whether a server may be sent requests, by all that it has said. */
     public boolean takesRequests(String life, long now) {
-        Word word = words.get(life);
+        Announcement word = words.get(life);
         return word == null || word.over(now);
     }
 
     /** Returns the lives of servers that have said since the last report that they leave, to be told now. */
     public List<String> news() {
         List<String> news = new ArrayList<>();
-        for (Map.Entry<String, Word> entry : words.entrySet()) {
+        for (Map.Entry<String, Announcement> entry : words.entrySet()) {
             if (entry.getValue().tellings > 0 && news.size() < MOST_TOLD) {
                 entry.getValue().tellings--;
                 news.add(entry.getKey());
@@ -116,8 +116,8 @@
         return words.size();
     }
 
-    private Word word(String life) {
-        Word known = words.get(life);
+    private Announcement word(String life) {
+        Announcement known = words.get(life);
         if (known != null) {
             return known;
         }
@@ -126,7 +126,7 @@
             oldest.next();
             oldest.remove();
         }
-        Word fresh = new Word();
+        Announcement fresh = new Announcement();
         words.put(life, fresh);
         return fresh;
     }
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServerDirectory.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerDirectory.java
@@ -21,8 +21,8 @@
     /** How long lapsed registrations are waited for after the store's return: told by the platform, and some slack. */
     private static final long LAPSED_MILLIS = 2_200;
 
-    private final Map<String, RelayServer> servers = new LinkedHashMap<>();
-    private final Map<String, List<RelayServer>> byService = new HashMap<>();
+    private final Map<String, ServerInstance> servers = new LinkedHashMap<>();
+    private final Map<String, List<ServerInstance>> byService = new HashMap<>();
     private long lastList = Long.MIN_VALUE;
     private long keepMissingUntil = Long.MIN_VALUE;
 
@@ -42,17 +42,17 @@
      * @param now time at which the list was asked for, in milliseconds
      * @return what has changed, for the log
      */
-    public List<ServerChange> apply(Collection<Registration> list, long now) {
+    public List<ServerChange> apply(Collection<ServerRegistration> list, long now) {
         List<ServerChange> changes = new ArrayList<>();
         boolean newest = now >= lastList;
         if (lastList != Long.MIN_VALUE && now - lastList > AWAY_MILLIS) {
             keepMissingUntil = now + LAPSED_MILLIS;
         }
         lastList = Math.max(lastList, now);
-        Map<String, Registration> seen = new HashMap<>();
-        for (Registration registration : list) {
+        Map<String, ServerRegistration> seen = new HashMap<>();
+        for (ServerRegistration registration : list) {
             seen.put(registration.id(), registration);
-            RelayServer known = servers.get(registration.id());
+            ServerInstance known = servers.get(registration.id());
             boolean sameLife = known == null || known.registration().born() == registration.born();
             if (!sameLife && !newest) {
                 continue;
@@ -63,7 +63,7 @@
                 known = null;
             }
             if (known == null) {
-                RelayServer fresh = RelayServer.of(registration);
+                ServerInstance fresh = ServerInstance.of(registration);
                 servers.put(registration.id(), fresh);
                 changes.add(ServerChange.of(fresh, ServerChange.Kind.SEEN));
                 continue;
@@ -90,7 +90,7 @@
     }
 
     /** Notes that another incarnation answered at a server's address: this one has ended. */
-    public void replaced(RelayServer server) {
+    public void replaced(ServerInstance server) {
         server.markGone();
         servers.remove(server.id(), server);
         arrange();
@@ -104,7 +104,7 @@
     /** Returns a number that is equal for equal lists, whatever their order. */
     public long digest() {
         long digest = 0;
-        for (RelayServer server : servers.values()) {
+        for (ServerInstance server : servers.values()) {
             digest += mix(server.life().hashCode() * 31L + (server.open() ? 1 : 0));
         }
         return digest;
@@ -116,20 +116,20 @@
     }
 
     /** Returns the servers of a service that take new work, ordered by id. */
-    public List<RelayServer> open(String service) {
+    public List<ServerInstance> open(String service) {
         return byService.getOrDefault(service, List.of()).stream()
-                .filter(RelayServer::open)
+                .filter(ServerInstance::open)
                 .toList();
     }
 
-    public Collection<RelayServer> all() {
+    public Collection<ServerInstance> all() {
         return servers.values();
     }
 
-    /** Returns the server of a life ({@link Registration#life()}), or null if that life isn't the present one. */
-    public RelayServer server(String life) {
+    /** Returns the server of a life ({@link ServerRegistration#life()}), or null if that life isn't the present one. */
+    public ServerInstance server(String life) {
         int mark = life.lastIndexOf('@');
-        RelayServer server = servers.get(mark < 0 ? life : life.substring(0, mark));
+        ServerInstance server = servers.get(mark < 0 ? life : life.substring(0, mark));
         return server != null && server.life().equals(life) ? server : null;
     }
 
@@ -145,7 +145,7 @@
 
     private void arrange() {
         byService.clear();
-        for (RelayServer server : servers.values()) {
+        for (ServerInstance server : servers.values()) {
             byService
                     .computeIfAbsent(server.service(), service -> new ArrayList<>())
                     .add(server);
--- a/core/src/main/java/org/tanagerhinge/core/relay/RelayServer.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerInstance.java
@@ -6,8 +6,8 @@
  * One incarnation of a backend server as this node knows it: what it registered, what this node has sent to it, and how
  * it has answered.
  */
-public final class RelayServer {
-    private Registration registration;
+public final class ServerInstance {
+    private ServerRegistration registration;
     private final String life;
     private boolean gone;
     private int running;
@@ -18,14 +18,14 @@
     private long lastHeard = Long.MIN_VALUE;
     private final ServerHealth health = ServerHealth.create();
 
-    private RelayServer(Registration registration) {
+    private ServerInstance(ServerRegistration registration) {
         this.registration = registration;
         this.life = registration.life();
     }
 
     /** Returns a server that has just been seen for the first time. */
-    public static RelayServer of(Registration registration) {
-        return new RelayServer(registration);
+    public static ServerInstance of(ServerRegistration registration) {
+        return new ServerInstance(registration);
     }
 
     public String id() {
@@ -62,14 +62,14 @@
         return gone;
     }
 
-    public Registration registration() {
+    public ServerRegistration registration() {
         return registration;
     }
 
     /** Takes a newer registration; a server that has said that it leaves stays so. */
-    void update(Registration newer) {
+    void update(ServerRegistration newer) {
         boolean leaving = registration.draining() || newer.draining();
-        registration = new Registration(
+        registration = new ServerRegistration(
                 newer.id(), newer.born(), newer.service(), newer.address(), newer.domain(), newer.slots(), leaving);
     }
 
--- a/core/src/main/java/org/tanagerhinge/core/relay/Registration.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerRegistration.java
@@ -10,7 +10,7 @@
  * @param slots requests that it runs at once
  * @param draining whether it has said that it leaves
  */
-public record Registration(
+public record ServerRegistration(
         String id, long born, String service, InetSocketAddress address, String domain, int slots, boolean draining) {
     /**
      * Returns the name of this life of the server. Two lives under one id have nothing in common but the id: the second one
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServiceTerms.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServiceConfig.java
@@ -9,11 +9,11 @@
  * @param tokenBytes what one token takes of that memory, in bytes; 0 if not told
  * @param linkBitsPerMilli speed of an engine's link to other engines, in bits a millisecond; 0 if not told
  */
-public record ServiceTerms(
+public record ServiceConfig(
         String name, int maxConnections, int slots, long memoryTokens, long tokenBytes, double linkBitsPerMilli) {
     /** Returns terms of a service whose engines' links aren't told. */
-    public static ServiceTerms of(String name, int maxConnections, int slots, long memoryTokens) {
-        return new ServiceTerms(name, maxConnections, slots, memoryTokens, 0, 0);
+    public static ServiceConfig of(String name, int maxConnections, int slots, long memoryTokens) {
+        return new ServiceConfig(name, maxConnections, slots, memoryTokens, 0, 0);
     }
 
     /** Returns the time that one engine takes to fetch tokens from another, in milliseconds; infinite if links aren't told. */
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServiceShare.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/WeightedService.java
@@ -1,4 +1,4 @@
 package org.tanagerhinge.core.relay;
 
 /** A service's weight in a route; weights of one route are relative to each other. */
-public record ServiceShare(String service, int weight) {}
+public record WeightedService(String service, int weight) {}
--- a/core/src/main/java/org/tanagerhinge/core/relay/WorkspaceTerms.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/WorkspaceConfig.java
@@ -7,4 +7,4 @@
  *
  * @param priority rank that goes before the route's, if the operators gave one
  */
-public record WorkspaceTerms(String name, OptionalInt priority) {}
+public record WorkspaceConfig(String name, OptionalInt priority) {}
--- a/core/src/test/java/org/tanagerhinge/core/relay/AdmissionTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/AdmissionControlTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Who is turned away when engines have more to read than they can in time, and when they should come back. */
-class AdmissionTest {
+class AdmissionControlTest {
     private static Route route(String name, long targetMillis, int priority) {
-        List<ServiceShare> shares = List.of(new ServiceShare("model", 1));
+        List<WeightedService> shares = List.of(new WeightedService("model", 1));
         return new Route(
                 name,
                 "h",
@@ -53,12 +53,13 @@
     void whatCantBeInTimeIsTurnedAway(double wait, long left, boolean expected) {
         assertEquals(
                 expected,
-                Admission.turnedAway(route("r", 1_200, 2), wait, left, 0.5).isPresent());
+                AdmissionControl.turnedAway(route("r", 1_200, 2), wait, left, 0.5)
+                        .isPresent());
     }
 
     @Test
     void aRouteWithoutATargetTurnsNobodyAway() {
-        assertEquals(OptionalLong.empty(), Admission.turnedAway(route("r", 0, 2), 60_000, 8_000, 0.5));
+        assertEquals(OptionalLong.empty(), AdmissionControl.turnedAway(route("r", 0, 2), 60_000, 8_000, 0.5));
     }
 
     /** Load: a burst is turned away in one moment; were all told the same time, they would be the next burst. */
@@ -66,8 +67,8 @@
     @CsvSource({"1000, 8000", "3000, 8000", "20000, 8000", "20000, 900", "20000, 1"})
     void callersComeBackSpreadWhenThereMayBeRoomAndWithinAThirdOfTheirTime(double wait, long left) {
         Route route = route("r", 1_200, 2);
-        long first = Admission.turnedAway(route, wait, left, 0).orElseThrow();
-        long last = Admission.turnedAway(route, wait, left, 1).orElseThrow();
+        long first = AdmissionControl.turnedAway(route, wait, left, 0).orElseThrow();
+        long last = AdmissionControl.turnedAway(route, wait, left, 1).orElseThrow();
         assertTrue(first >= Math.min(300, Math.max(1, left / 3)), "first " + first);
         assertTrue(last <= Math.max(1, left / 3), "last " + last);
         assertTrue(last > first || last >= left / 3, first + " to " + last);
@@ -79,14 +80,15 @@
      */
     @Test
     void aNodeThatHasMeasuredNoSpeedExpectsNoWait() {
-        PromptAware placement = PromptAware.create();
-        RelayServer engine = RelayServer.of(
-                new Registration("a", 0, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, false));
+        PromptAwarePlacement placement = PromptAwarePlacement.create();
+        ServerInstance engine = ServerInstance.of(
+                new ServerRegistration("a", 0, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, false));
         engine.peers(3, 100_000);
         Prompt prompt = Prompt.of(9_000, 80, List.of(new PromptPart("own", 9_000)));
         PlacementRequest request =
-                new PlacementRequest(route("r", 600, 1), ServiceTerms.of("model", 300, 48, 300_000), prompt, "north");
-        Placement.Placed first = placement.place(request, List.of(engine), 0).orElseThrow();
+                new PlacementRequest(route("r", 600, 1), ServiceConfig.of("model", 300, 48, 300_000), prompt, "north");
+        PlacementPolicy.Decision first =
+                placement.place(request, List.of(engine), 0).orElseThrow();
         assertEquals(0, first.waitMillis());
         for (int i = 0; i < 5; i++) {
             placement.read(request, first, 200);
@@ -106,14 +108,14 @@
     })
     void onlyTheLastRankIsTurnedAway(int ofRoute, int ofWorkspace, boolean expected) {
         List<Route> routes = List.of(route("a", 300, 0), route("b", 300, 1), route("c", 300, 2));
-        Map<String, WorkspaceTerms> workspaces = ofWorkspace < 0
+        Map<String, WorkspaceConfig> workspaces = ofWorkspace < 0
                 ? Map.of()
                 : Map.of(
-                        "k0", new WorkspaceTerms("w0", OptionalInt.of(0)),
-                        "k1", new WorkspaceTerms("w1", OptionalInt.of(1)));
+                        "k0", new WorkspaceConfig("w0", OptionalInt.of(0)),
+                        "k1", new WorkspaceConfig("w1", OptionalInt.of(1)));
         RelayConfig config = RelayConfig.of(
-                1, routes, List.of(ServiceTerms.of("model", 300, 48, 300_000)), workspaces, CallerLimits.DEFAULT);
-        Optional<WorkspaceTerms> workspace = ofWorkspace < 0 ? Optional.empty() : config.workspace("k" + ofWorkspace);
+                1, routes, List.of(ServiceConfig.of("model", 300, 48, 300_000)), workspaces, CallerLimits.DEFAULT);
+        Optional<WorkspaceConfig> workspace = ofWorkspace < 0 ? Optional.empty() : config.workspace("k" + ofWorkspace);
         assertEquals(expected, config.leastUrgent(workspace, routes.get(ofRoute), "model"));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/LanesTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/LanePlacementTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Which engines long and short prompts go to. */
-class LanesTest {
-    private static final ServiceTerms ENGINES = ServiceTerms.of("model", 300, 48, 300_000);
+class LanePlacementTest {
+    private static final ServiceConfig ENGINES = ServiceConfig.of("model", 300, 48, 300_000);
 
     @ParameterizedTest
     @CsvSource({
@@ -31,17 +31,18 @@
     })
     void shortPromptsGetAsFewEnginesAsHoldThem(int engines, int running, double shorts, double longs, int expected) {
         assertEquals(
-                expected, Lanes.shortEngines(engines, 48, new LaneDemand(running, shorts, longs), 42.8, 0.35, false));
+                expected,
+                LaneSizing.shortEngines(engines, 48, new LaneDemand(running, shorts, longs), 42.8, 0.35, false));
     }
 
     /** Load: short prompts that arrive by chance beside streams; the quicker each is read, the more may be read in all. */
     @Test
     void quickerReadingAndLongerPausesLeaveMoreOfAnEnginesTimeForReading() {
-        double slow = Lanes.shortReading(120, 19.3);
-        double quick = Lanes.shortReading(150, 11.8);
+        double slow = LaneSizing.shortReading(120, 19.3);
+        double quick = LaneSizing.shortReading(150, 11.8);
         assertEquals(0.45, slow, 0.01);
         assertEquals(0.54, quick, 0.01);
-        assertTrue(Lanes.shortReading(120, 1) < 0.85);
+        assertTrue(LaneSizing.shortReading(120, 1) < 0.85);
     }
 
     private static Prompt prompt(int tokens, String shared) {
@@ -54,9 +55,9 @@
      */
     @Test
     void longPromptsAndShortOnesGoToEnginesOfTheirOwn() {
-        PromptAware placement = PromptAware.create();
+        PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
-        List<Registration> list = new ArrayList<>();
+        List<ServerRegistration> list = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             list.add(registration("e" + i, false));
         }
@@ -67,7 +68,7 @@
             boolean isLong = i % 3 == 0;
             PlacementRequest request = new PlacementRequest(
                     route(RouteKind.STREAM, true, 2), ENGINES, prompt(isLong ? 9_000 : 800, "p" + i % 9), "north");
-            Placement.Placed placed =
+            PlacementPolicy.Decision placed =
                     placement.place(request, directory.open("model"), i * 10L).orElseThrow();
             placed.server().sent(placed.tokensToRead());
             placement.sent(request, placed, i * 10L);
@@ -90,12 +91,12 @@
      */
     @Test
     void aRequestEndsAsWhatItWasSentWhateverSpeedWasMeasuredMeanwhile() {
-        PromptAware placement = PromptAware.create();
+        PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false)), 0);
         PlacementRequest request =
                 new PlacementRequest(route(RouteKind.STREAM, true, 2), ENGINES, prompt(2_600, "p"), "north");
-        Placement.Placed placed =
+        PlacementPolicy.Decision placed =
                 placement.place(request, directory.open("model"), 0).orElseThrow();
         placement.sent(request, placed, 0);
         PlacementRequest large =
@@ -114,7 +115,7 @@
      */
     @Test
     void sharedPartsThatAnEngineHeldUnknownMakeItSeemNoFaster() {
-        PromptAware placement = PromptAware.create();
+        PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false)), 0);
         placement.tightestPause(200);
@@ -122,7 +123,7 @@
             Prompt prompt = Prompt.of(
                     17_000, 80, List.of(new PromptPart("shared" + i, 13_300), new PromptPart("own" + i, 3_700)));
             PlacementRequest request = new PlacementRequest(route(RouteKind.STREAM, true, 2), ENGINES, prompt, "north");
-            Placement.Placed placed =
+            PlacementPolicy.Decision placed =
                     placement.place(request, directory.open("model"), 0).orElseThrow();
             assertTrue(placed.longPrompt(), "prompt " + i);
             placement.read(request, placed, 50);
@@ -136,7 +137,7 @@
      */
     @Test
     void requestsOfALaneWithoutAFreePlaceGoToTheOtherOne() {
-        PromptAware placement = PromptAware.create();
+        PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false)), 0);
         PlacementRequest longs =
@@ -144,7 +145,7 @@
         PlacementRequest shorts =
                 new PlacementRequest(route(RouteKind.STREAM, false, 1), ENGINES, prompt(800, "q"), "north");
         placement.sent(longs, placement.place(longs, directory.open("model"), 0).orElseThrow(), 0);
-        RelayServer first = placement
+        ServerInstance first = placement
                 .place(shorts, directory.open("model"), 1)
                 .orElseThrow()
                 .server();
@@ -176,24 +177,24 @@
     @ParameterizedTest
     @CsvSource({"49, 10, 17258", "55, 14, 26873", "69, 26, 29220", "69, 47, 60000"})
     void requestsOfAFullLaneGoWhereAPlaceIsFree(int inFullLane, int elsewhere, long reading) {
-        PromptAware placement = PromptAware.create();
+        PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false), registration("c", false)), 0);
         PlacementRequest longs = new PlacementRequest(ranked(1), ENGINES, prompt(9_000, "p"), "north");
         PlacementRequest shorts = new PlacementRequest(ranked(0), ENGINES, prompt(800, "q"), "north");
         placement.sent(longs, placement.place(longs, directory.open("model"), 0).orElseThrow(), 0);
-        RelayServer shortLane = placement
+        ServerInstance shortLane = placement
                 .place(shorts, directory.open("model"), 1)
                 .orElseThrow()
                 .server();
         shortLane.peers(inFullLane, 9_000);
-        for (RelayServer other : directory.open("model")) {
+        for (ServerInstance other : directory.open("model")) {
             if (other != shortLane) {
                 other.peers(elsewhere, reading);
             }
         }
         for (int i = 0; i < 6; i++) {
-            RelayServer chosen = placement
+            ServerInstance chosen = placement
                     .place(shorts, directory.open("model"), 2 + i)
                     .orElseThrow()
                     .server();
@@ -209,22 +210,22 @@
     @ParameterizedTest
     @CsvSource({"2, false", "0, true", "1, true"})
     void longPromptsThatAreLessUrgentStayInTheirFullLane(int longRank, boolean leaves) {
-        PromptAware placement = PromptAware.create();
+        PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false)), 0);
         PlacementRequest longs = new PlacementRequest(ranked(longRank), ENGINES, prompt(9_000, "p"), "north");
         PlacementRequest shorts = new PlacementRequest(ranked(1), ENGINES, prompt(800, "q"), "north");
-        Placement.Placed first =
+        PlacementPolicy.Decision first =
                 placement.place(longs, directory.open("model"), 0).orElseThrow();
         placement.sent(longs, first, 0);
-        Placement.Placed second =
+        PlacementPolicy.Decision second =
                 placement.place(shorts, directory.open("model"), 1).orElseThrow();
         placement.sent(shorts, second, 1);
-        RelayServer longLane =
+        ServerInstance longLane =
                 placement.place(longs, directory.open("model"), 2).orElseThrow().server();
         longLane.peers(60, 0);
         PlacementRequest another = new PlacementRequest(ranked(longRank), ENGINES, prompt(9_000, "r"), "north");
-        RelayServer now = placement
+        ServerInstance now = placement
                 .place(another, directory.open("model"), 3)
                 .orElseThrow()
                 .server();
@@ -232,33 +233,33 @@
     }
 
     private static Route ranked(int priority) {
-        List<ServiceShare> shares = List.of(new ServiceShare("model", 1));
+        List<WeightedService> shares = List.of(new WeightedService("model", 1));
         return new Route("r", "h", "/", RouteKind.STREAM, true, shares, 2, 5_000, 300, 120, priority, false, true);
     }
 
     @Test
     void aPromptGoesWhereItsPartsAreHeldUnlessThatEngineHasMuchToRead() {
-        PromptAware placement = PromptAware.create();
+        PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false), registration("c", false)), 0);
         PlacementRequest request =
                 new PlacementRequest(route(RouteKind.STREAM, true, 2), ENGINES, prompt(9_000, "p"), "north");
-        Placement.Placed first =
+        PlacementPolicy.Decision first =
                 placement.place(request, directory.open("model"), 0).orElseThrow();
         placement.sent(request, first, 0);
-        Placement.Placed second =
+        PlacementPolicy.Decision second =
                 placement.place(request, directory.open("model"), 10).orElseThrow();
         assertEquals(first.server().id(), second.server().id());
         assertTrue(second.tokensToRead() < first.tokensToRead());
         first.server().peers(0, 50_000);
-        Placement.Placed third =
+        PlacementPolicy.Decision third =
                 placement.place(request, directory.open("model"), 20).orElseThrow();
         assertNotEquals(first.server().id(), third.server().id());
     }
 
     @Test
     void anEngineIsTakenToHoldWhatFitsItsMemoryTheOldestGoesFirst() {
-        PrefixMemory memory = PrefixMemory.create();
+        PrefixCacheTracker memory = PrefixCacheTracker.create();
         Prompt old = Prompt.of(600, 1, List.of(new PromptPart("a", 600)));
         Prompt young = Prompt.of(500, 1, List.of(new PromptPart("b", 500)));
         memory.keep("e", old.parts(), 1_000, 0);
--- a/core/src/test/java/org/tanagerhinge/core/relay/PeerTableTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PeerTableTest.java
@@ -24,7 +24,7 @@
                 0,
                 0,
                 interval,
-                Map.of("a", new PeerReport.Use(2, 100)),
+                Map.of("a", new PeerReport.InstanceLoad(2, 100)),
                 Map.of("model", new LaneDemand(1, 2, 3)));
     }
 
--- a/core/src/test/java/org/tanagerhinge/core/relay/PrefixHomesTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PrefixAffinityTest.java
@@ -17,15 +17,15 @@
  * Events: all gateways start again and remember nothing, while engines hold all parts still. Cause: each gateway sent a part
  * that it knew at no engine to the engine that had least to do.
  */
-class PrefixHomesTest {
-    private static final ServiceTerms ENGINES = ServiceTerms.of("model", 300, 48, 1_200_000);
+class PrefixAffinityTest {
+    private static final ServiceConfig ENGINES = ServiceConfig.of("model", 300, 48, 1_200_000);
     private static final int PARTS = 2_000;
 
-    private static List<RelayServer> engines(int count) {
-        List<RelayServer> engines = new ArrayList<>();
+    private static List<ServerInstance> engines(int count) {
+        List<ServerInstance> engines = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            engines.add(RelayServer.of(
-                    new Registration("i-" + i, 0, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, false)));
+            engines.add(ServerInstance.of(new ServerRegistration(
+                    "i-" + i, 0, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, false)));
         }
         return engines;
     }
@@ -36,13 +36,13 @@
     }
 
     private static PlacementRequest request(int thing, int own) {
-        List<ServiceShare> shares = List.of(new ServiceShare("model", 1));
+        List<WeightedService> shares = List.of(new WeightedService("model", 1));
         Route route = new Route("r", "h", "/", RouteKind.STREAM, true, shares, 2, 5_000, 300, 120, 0, false, true);
         return new PlacementRequest(route, ENGINES, prompt(thing, own), "north");
     }
 
-    private static RelayServer first(Prompt prompt, List<RelayServer> engines) {
-        PrefixHomes homes = PrefixHomes.of(prompt, engines);
+    private static ServerInstance first(Prompt prompt, List<ServerInstance> engines) {
+        PrefixAffinity homes = PrefixAffinity.of(prompt, engines);
         return engines.stream()
                 .filter(engine -> homes.rank(engine) == 0)
                 .findFirst()
@@ -51,12 +51,12 @@
 
     @Test
     void gatewaysThatRememberNothingChooseTheSameEngine() {
-        List<RelayServer> engines = engines(10);
+        List<ServerInstance> engines = engines(10);
         for (int thing = 0; thing < 50; thing++) {
-            PromptAware one = PromptAware.create();
-            PromptAware other = PromptAware.create();
+            PromptAwarePlacement one = PromptAwarePlacement.create();
+            PromptAwarePlacement other = PromptAwarePlacement.create();
             one.place(request(thing + 1_000, 0), engines, 0);
-            RelayServer chosen =
+            ServerInstance chosen =
                     one.place(request(thing, 1), engines, 0).orElseThrow().server();
             assertEquals(
                     chosen,
@@ -66,13 +66,13 @@
 
     @Test
     void withoutHomesTheyDoNot() {
-        List<RelayServer> engines = engines(10);
+        List<ServerInstance> engines = engines(10);
         int same = 0;
         for (int thing = 0; thing < 50; thing++) {
-            PromptAware one = PromptAware.without(Set.of(Mechanism.PREFIX_HOMES));
-            PromptAware other = PromptAware.without(Set.of(Mechanism.PREFIX_HOMES));
+            PromptAwarePlacement one = PromptAwarePlacement.without(Set.of(Mechanism.PREFIX_HOMES));
+            PromptAwarePlacement other = PromptAwarePlacement.without(Set.of(Mechanism.PREFIX_HOMES));
             one.place(request(thing + 1_000, 0), engines, 0);
-            RelayServer chosen =
+            ServerInstance chosen =
                     one.place(request(thing, 1), engines, 0).orElseThrow().server();
             same += chosen
                             == other.place(request(thing, 2), engines, 0)
@@ -86,13 +86,13 @@
 
     @Test
     void partsSpreadEvenlyAndTheLossOfAnEngineMovesOnlyItsOwn() {
-        List<RelayServer> all = engines(10);
-        List<RelayServer> fewer = all.subList(0, 9);
-        Map<RelayServer, Integer> counts = new HashMap<>();
+        List<ServerInstance> all = engines(10);
+        List<ServerInstance> fewer = all.subList(0, 9);
+        Map<ServerInstance, Integer> counts = new HashMap<>();
         for (int thing = 0; thing < PARTS; thing++) {
-            RelayServer before = first(prompt(thing, 0), all);
+            ServerInstance before = first(prompt(thing, 0), all);
             counts.merge(before, 1, Integer::sum);
-            RelayServer after = first(prompt(thing, 0), fewer);
+            ServerInstance after = first(prompt(thing, 0), fewer);
             if (before != all.get(9)) {
                 assertEquals(before, after);
             }
@@ -103,25 +103,25 @@
 
     @Test
     void theSecondHomeIsTheFirstOnceThatIsGone() {
-        List<RelayServer> all = engines(10);
+        List<ServerInstance> all = engines(10);
         for (int thing = 0; thing < 50; thing++) {
-            PrefixHomes homes = PrefixHomes.of(prompt(thing, 0), all);
-            RelayServer first = first(prompt(thing, 0), all);
-            List<RelayServer> others =
+            PrefixAffinity homes = PrefixAffinity.of(prompt(thing, 0), all);
+            ServerInstance first = first(prompt(thing, 0), all);
+            List<ServerInstance> others =
                     all.stream().filter(engine -> engine != first).toList();
-            RelayServer next = first(prompt(thing, 0), others);
+            ServerInstance next = first(prompt(thing, 0), others);
             assertEquals(1, homes.rank(next));
         }
     }
 
     @Test
     void aHomeWithTooMuchToReadIsPassedOver() {
-        List<RelayServer> engines = engines(4);
-        RelayServer home = first(prompt(7, 0), engines);
+        List<ServerInstance> engines = engines(4);
+        ServerInstance home = first(prompt(7, 0), engines);
         home.sent(200_000);
         assertNotEquals(
                 home,
-                PromptAware.create()
+                PromptAwarePlacement.create()
                         .place(request(7, 0), engines, 0)
                         .orElseThrow()
                         .server());
@@ -129,8 +129,8 @@
 
     @Test
     void aPromptThatSharesNothingHasNoHome() {
-        List<RelayServer> engines = engines(3);
-        PrefixHomes homes = PrefixHomes.of(Prompt.of(100, 10, List.of(new PromptPart("own", 100))), engines);
+        List<ServerInstance> engines = engines(3);
+        PrefixAffinity homes = PrefixAffinity.of(Prompt.of(100, 10, List.of(new PromptPart("own", 100))), engines);
         assertTrue(engines.stream().allMatch(engine -> homes.rank(engine) < 0));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/HoldersTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PrefixPlacementTest.java
@@ -15,30 +15,30 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Which engines a prompt with shared parts may go to, and what these fetch from each other. */
-class HoldersTest {
-    private static final ServiceTerms LINKED = new ServiceTerms("model", 300, 48, 1_200_000, 18_432, 180_000_000);
-    private static final ServiceTerms UNLINKED = ServiceTerms.of("model", 300, 48, 1_200_000);
-    private static final ServiceTerms SLOW_LINKS = new ServiceTerms("model", 300, 48, 1_200_000, 18_432, 4_000_000);
+class PrefixPlacementTest {
+    private static final ServiceConfig LINKED = new ServiceConfig("model", 300, 48, 1_200_000, 18_432, 180_000_000);
+    private static final ServiceConfig UNLINKED = ServiceConfig.of("model", 300, 48, 1_200_000);
+    private static final ServiceConfig SLOW_LINKS = new ServiceConfig("model", 300, 48, 1_200_000, 18_432, 4_000_000);
     /** Longer than a prompt that was sent is taken to wait. */
     private static final long READ = 2_000;
 
-    private static List<RelayServer> engines(int count) {
-        List<RelayServer> engines = new ArrayList<>();
+    private static List<ServerInstance> engines(int count) {
+        List<ServerInstance> engines = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            engines.add(RelayServer.of(
-                    new Registration("i-" + i, 0, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, false)));
+            engines.add(ServerInstance.of(new ServerRegistration(
+                    "i-" + i, 0, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, false)));
         }
         return engines;
     }
 
-    private static PlacementRequest request(ServiceTerms service, int thing, int own) {
+    private static PlacementRequest request(ServiceConfig service, int thing, int own) {
         Route route = new Route(
                 "r",
                 "h",
                 "/",
                 RouteKind.STREAM,
                 true,
-                List.of(new ServiceShare("model", 1)),
+                List.of(new WeightedService("model", 1)),
                 2,
                 5_000,
                 300,
@@ -63,19 +63,20 @@
      */
     @Test
     void aPartIsReadByFewEnginesHoweverTheirLoadsDiffer() {
-        assertTrue(enginesThatRead(PromptAware.create()) <= 3);
-        assertTrue(enginesThatRead(PromptAware.without(Set.of(Mechanism.HOLDERS_ONLY))) > 3);
+        assertTrue(enginesThatRead(PromptAwarePlacement.create()) <= 3);
+        assertTrue(enginesThatRead(PromptAwarePlacement.without(Set.of(Mechanism.HOLDERS_ONLY))) > 3);
     }
 
-    private static int enginesThatRead(PromptAware placement) {
-        List<RelayServer> engines = engines(20);
-        Set<RelayServer> readers = new HashSet<>();
+    private static int enginesThatRead(PromptAwarePlacement placement) {
+        List<ServerInstance> engines = engines(20);
+        Set<ServerInstance> readers = new HashSet<>();
         for (int i = 0; i < 200; i++) {
             for (int k = 0; k < engines.size(); k++) {
                 engines.get(k).peers(10, (i * 7_919L + k * 104_729L) % 400_000);
             }
             PlacementRequest request = request(LINKED, 1, i);
-            Placement.Placed placed = placement.place(request, engines, i * 20L).orElseThrow();
+            PlacementPolicy.Decision placed =
+                    placement.place(request, engines, i * 20L).orElseThrow();
             readers.add(placed.server());
             placement.sent(request, placed, i * 20L);
         }
@@ -89,25 +90,29 @@
      */
     @Test
     void aPromptOfWhichOnlyTheCommonPartIsHeldGoesToItsHome() {
-        List<RelayServer> engines = engines(10);
-        PromptAware placement = PromptAware.create();
-        for (RelayServer engine : engines) {
+        List<ServerInstance> engines = engines(10);
+        PromptAwarePlacement placement = PromptAwarePlacement.create();
+        for (ServerInstance engine : engines) {
             placement.kept(engine, LINKED, List.of(new PromptPart("all", 2_000)), 0);
         }
         for (int thing = 0; thing < 20; thing++) {
             PlacementRequest request = request(LINKED, thing, thing);
-            PrefixHomes homes = PrefixHomes.of(request.prompt(), engines);
-            RelayServer chosen =
+            PrefixAffinity homes = PrefixAffinity.of(request.prompt(), engines);
+            ServerInstance chosen =
                     placement.place(request, engines, 10).orElseThrow().server();
             assertEquals(0, homes.rank(chosen), "prompt " + thing);
         }
     }
 
-    private static Optional<Placement.Fetch> fetched(
-            PromptAware placement, ServiceTerms service, List<RelayServer> candidates, RelayServer holder, long now) {
+    private static Optional<PlacementPolicy.PrefixFetch> fetched(
+            PromptAwarePlacement placement,
+            ServiceConfig service,
+            List<ServerInstance> candidates,
+            ServerInstance holder,
+            long now) {
         placement.kept(holder, service, request(service, 1, 1).prompt().sharedParts(), 0);
         holder.peers(10, 500_000);
-        Placement.Placed placed =
+        PlacementPolicy.Decision placed =
                 placement.place(request(service, 1, 2), candidates, now).orElseThrow();
         assertNotEquals(holder, placed.server());
         return placed.fetch();
@@ -115,8 +120,9 @@
 
     @Test
     void anEngineThatIsChosenInPlaceOfABusyHolderFetchesFromIt() {
-        List<RelayServer> engines = engines(6);
-        Placement.Fetch fetch = fetched(PromptAware.create(), LINKED, engines, engines.get(2), READ)
+        List<ServerInstance> engines = engines(6);
+        PlacementPolicy.PrefixFetch fetch = fetched(
+                        PromptAwarePlacement.create(), LINKED, engines, engines.get(2), READ)
                 .orElseThrow();
         assertEquals(engines.get(2), fetch.from());
         assertEquals(13_300, fetch.tokens());
@@ -127,10 +133,10 @@
      */
     @Test
     void whatTheChosenEngineHoldsItselfIsNotFetched() {
-        List<RelayServer> engines = engines(6);
-        PromptAware placement = PromptAware.create();
+        List<ServerInstance> engines = engines(6);
+        PromptAwarePlacement placement = PromptAwarePlacement.create();
         engines.forEach(engine -> placement.kept(engine, LINKED, List.of(new PromptPart("all", 2_000)), 0));
-        Placement.Fetch fetch =
+        PlacementPolicy.PrefixFetch fetch =
                 fetched(placement, LINKED, engines, engines.get(2), READ).orElseThrow();
         assertEquals(11_300, fetch.tokens());
     }
@@ -143,40 +149,41 @@
         "1000, true",
     })
     void whatIsStillBeingReadIsNotFetched(long age, boolean expected) {
-        List<RelayServer> engines = engines(6);
+        List<ServerInstance> engines = engines(6);
         assertEquals(
                 expected,
-                fetched(PromptAware.create(), LINKED, engines, engines.get(2), age)
+                fetched(PromptAwarePlacement.create(), LINKED, engines, engines.get(2), age)
                         .isPresent());
     }
 
     @Test
     void nothingIsFetchedWhereLinksAreNotToldOrTooSlow() {
-        for (ServiceTerms service : List.of(UNLINKED, SLOW_LINKS)) {
-            List<RelayServer> engines = engines(6);
-            assertEquals(Optional.empty(), fetched(PromptAware.create(), service, engines, engines.get(2), READ));
+        for (ServiceConfig service : List.of(UNLINKED, SLOW_LINKS)) {
+            List<ServerInstance> engines = engines(6);
+            assertEquals(
+                    Optional.empty(), fetched(PromptAwarePlacement.create(), service, engines, engines.get(2), READ));
         }
     }
 
     /** What would go wrong: an engine waits for one that is leaving, silent or gone before it reads a prompt. */
     @Test
     void nothingIsFetchedFromAnEngineThatTakesNoNewWork() {
-        List<RelayServer> engines = engines(6);
-        RelayServer leaving = engines.get(2);
-        List<RelayServer> others =
+        List<ServerInstance> engines = engines(6);
+        ServerInstance leaving = engines.get(2);
+        List<ServerInstance> others =
                 engines.stream().filter(engine -> engine != leaving).toList();
-        assertEquals(Optional.empty(), fetched(PromptAware.create(), LINKED, others, leaving, READ));
+        assertEquals(Optional.empty(), fetched(PromptAwarePlacement.create(), LINKED, others, leaving, READ));
     }
 
     /** What would go wrong: another life of a server under its address is asked for what the life before had read. */
     @Test
     void nothingIsFetchedFromALifeThatHasEnded() {
-        List<RelayServer> engines = engines(6);
-        PromptAware placement = PromptAware.create();
-        RelayServer holder = engines.get(2);
+        List<ServerInstance> engines = engines(6);
+        PromptAwarePlacement placement = PromptAwarePlacement.create();
+        ServerInstance holder = engines.get(2);
         placement.kept(holder, LINKED, request(LINKED, 1, 1).prompt().sharedParts(), 0);
         placement.forget(holder.life());
-        Placement.Placed placed =
+        PlacementPolicy.Decision placed =
                 placement.place(request(LINKED, 1, 2), engines, READ).orElseThrow();
         assertEquals(Optional.empty(), placed.fetch());
     }
@@ -184,15 +191,15 @@
     @Test
     void aFetchChangesNoChoice() {
         for (int thing = 0; thing < 30; thing++) {
-            List<RelayServer> engines = engines(8);
-            RelayServer with = chosen(PromptAware.create(), engines, thing);
-            RelayServer without = chosen(PromptAware.without(Set.of(Mechanism.FETCH)), engines, thing);
+            List<ServerInstance> engines = engines(8);
+            ServerInstance with = chosen(PromptAwarePlacement.create(), engines, thing);
+            ServerInstance without = chosen(PromptAwarePlacement.without(Set.of(Mechanism.FETCH)), engines, thing);
             assertEquals(with, without);
         }
     }
 
-    private static RelayServer chosen(PromptAware placement, List<RelayServer> engines, int thing) {
-        RelayServer holder = engines.get(thing % engines.size());
+    private static ServerInstance chosen(PromptAwarePlacement placement, List<ServerInstance> engines, int thing) {
+        ServerInstance holder = engines.get(thing % engines.size());
         placement.kept(holder, LINKED, request(LINKED, thing, 1).prompt().sharedParts(), 0);
         holder.peers(3, thing * 10_000L);
         return placement
@@ -211,6 +218,7 @@
     })
     void inAShortageTheMoreUrgentShortPromptsGetWhatTheyNeed(
             double shorts, double longs, boolean shortFirst, int expected) {
-        assertEquals(expected, Lanes.shortEngines(20, 48, new LaneDemand(10, shorts, longs), 42.8, 0.35, shortFirst));
+        assertEquals(
+                expected, LaneSizing.shortEngines(20, 48, new LaneDemand(10, shorts, longs), 42.8, 0.35, shortFirst));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/RankOrderTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PriorityOrderTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Who yields to whom, and which prompts an engine reads first. */
-class RankOrderTest {
+class PriorityOrderTest {
     /**
      * Symptom: questions got nothing while cards of over twice their size began. Events: engines leave until one is left;
      * both kinds fill its places and its queue. Cause: whatever came was sent.
@@ -24,8 +24,8 @@
     @Test
     void aServerWhereMoreUrgentRequestsAreOverdueIsLeftToThem() {
         RankGate gate = RankGate.create();
-        RankGate.Waiting first = RankGate.Waiting.of("e", 0, 300);
-        RankGate.Waiting second = RankGate.Waiting.of("e", 0, 400);
+        RankGate.PendingRequest first = RankGate.PendingRequest.of("e", 0, 300);
+        RankGate.PendingRequest second = RankGate.PendingRequest.of("e", 0, 400);
         gate.sent(first);
         gate.sent(second);
         assertFalse(gate.yields(1, "e", 250), "nobody is overdue");
@@ -42,16 +42,16 @@
      */
     @Test
     void whatTakesLittleReadingForItsSizeGoesFirst() {
-        ReadingOrder order = ReadingOrder.create();
+        PrefillOrder order = PrefillOrder.create();
         Route plan = route(RouteKind.STREAM, true, 2);
         Prompt usual = Prompt.of(9_000, 50, List.of());
-        assertEquals(ReadingOrder.STEPS - 1, order.step(plan, usual, 9_000, 45), "new, takes two thirds of the target");
+        assertEquals(PrefillOrder.STEPS - 1, order.step(plan, usual, 9_000, 45), "new, takes two thirds of the target");
         assertEquals(0, order.step(plan, usual, 300, 45), "held but for a little");
         int half = order.step(plan, usual, 2_000, 45);
-        assertTrue(half > 0 && half < ReadingOrder.STEPS - 1);
+        assertTrue(half > 0 && half < PrefillOrder.STEPS - 1);
         Prompt small = Prompt.of(2_000, 50, List.of());
         assertTrue(order.step(plan, small, 2_000, 45) > half, "as much reading, less of an answer");
-        for (int held = 0, before = ReadingOrder.STEPS; held < 9_000; held += 500) {
+        for (int held = 0, before = PrefillOrder.STEPS; held < 9_000; held += 500) {
             int step = order.step(plan, usual, 9_000 - held, 45);
             assertTrue(step <= before, "less to read never goes later");
             before = step;
@@ -65,7 +65,7 @@
                 "/" + priority + "/",
                 RouteKind.STREAM,
                 false,
-                List.of(new ServiceShare("model", 1)),
+                List.of(new WeightedService("model", 1)),
                 1,
                 5000,
                 300,
@@ -80,9 +80,9 @@
         for (int priority = 0; priority < kinds; priority++) {
             routes.add(kind(priority));
         }
-        Map<String, WorkspaceTerms> workspaces = new HashMap<>();
+        Map<String, WorkspaceConfig> workspaces = new HashMap<>();
         for (int rank : workspaceRanks) {
-            workspaces.put("key" + rank, new WorkspaceTerms("w" + rank, OptionalInt.of(rank)));
+            workspaces.put("key" + rank, new WorkspaceConfig("w" + rank, OptionalInt.of(rank)));
         }
         return RelayConfig.of(1, routes, List.of(), workspaces, CallerLimits.DEFAULT);
     }
@@ -104,8 +104,8 @@
             int least = 9;
             for (RelayConfig config : configs) {
                 for (int rank : new int[] {0, 1, 2, 5, 9, 12}) {
-                    Optional<WorkspaceTerms> workspace = config.workspace("key" + rank);
-                    for (int step = 0; step < ReadingOrder.STEPS; step++) {
+                    Optional<WorkspaceConfig> workspace = config.workspace("key" + rank);
+                    for (int step = 0; step < PrefillOrder.STEPS; step++) {
                         most = Math.max(most, config.level(workspace, kind(kind), "model", step));
                         least = Math.min(least, config.level(workspace, kind(kind + 1), "model", step));
                     }
@@ -137,18 +137,18 @@
         for (int kind = 0; kind < kinds; kind++) {
             for (int workspace = 0; workspace < workspaces; workspace++) {
                 String of = "kind " + kind + " of " + kinds + ", workspace " + workspace + " of " + workspaces;
-                int last = Urgency.level(kind, kinds, workspace, workspaces, ReadingOrder.STEPS - 1);
+                int last = PriorityLevels.level(kind, kinds, workspace, workspaces, PrefillOrder.STEPS - 1);
                 if (workspace + 1 < workspaces) {
-                    int next = Urgency.level(kind, kinds, workspace + 1, workspaces, 0);
+                    int next = PriorityLevels.level(kind, kinds, workspace + 1, workspaces, 0);
                     assertTrue(kinds * workspaces <= 10 ? last < next : last <= next, of);
                 }
                 if (kind + 1 < kinds) {
-                    int next = Urgency.level(kind + 1, kinds, 0, workspaces, 0);
+                    int next = PriorityLevels.level(kind + 1, kinds, 0, workspaces, 0);
                     assertTrue(kinds <= 10 ? last < next : last <= next, of);
                 }
             }
         }
-        assertEquals(0, Urgency.level(0, kinds, 0, workspaces, 0));
-        assertTrue(Urgency.level(kinds - 1, kinds, workspaces - 1, workspaces, ReadingOrder.STEPS - 1) <= 9);
+        assertEquals(0, PriorityLevels.level(0, kinds, 0, workspaces, 0));
+        assertTrue(PriorityLevels.level(kinds - 1, kinds, workspaces - 1, workspaces, PrefillOrder.STEPS - 1) <= 9);
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/RelayFixture.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/RelayFixture.java
@@ -7,8 +7,8 @@
 final class RelayFixture {
     private RelayFixture() {}
 
-    static Registration registration(String id, boolean draining) {
-        return new Registration(id, 0, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, draining);
+    static ServerRegistration registration(String id, boolean draining) {
+        return new ServerRegistration(id, 0, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, draining);
     }
 
     static Route route(RouteKind kind, boolean resumable, int attempts) {
@@ -18,7 +18,7 @@
                 "/",
                 kind,
                 resumable,
-                List.of(new ServiceShare("model", 1)),
+                List.of(new WeightedService("model", 1)),
                 attempts,
                 5000,
                 300,
--- a/core/src/test/java/org/tanagerhinge/core/relay/AttemptsTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/RetryTest.java
@@ -15,7 +15,7 @@
 import org.tanagerhinge.core.attempt.RetryBudget;
 
 /** Which requests are sent again, and how many of them. */
-class AttemptsTest {
+class RetryTest {
     @ParameterizedTest
     @CsvSource({
         "SAFE,   false, BROKEN,       1, 1, true",
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerWordsTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerAnnouncementsTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /** What is remembered of servers' words, and for how long. */
-class ServerWordsTest {
-    private final ServerWords words = ServerWords.create();
+class ServerAnnouncementsTest {
+    private final ServerAnnouncements words = ServerAnnouncements.create();
 
     @Test
     void aServerThatSaysThatItLeavesDoesSoForTheLifeThatSaidIt() {
@@ -27,8 +27,8 @@
         assertEquals(2, words.size());
         assertEquals(1, words.nothingMillis("f@1", 4_999));
         assertEquals(0, words.nothingMillis("f@1", 5_000));
-        assertFalse(words.leaving("e@1", ServerWords.LEAVING_MILLIS));
-        words.trim(ServerWords.LEAVING_MILLIS);
+        assertFalse(words.leaving("e@1", ServerAnnouncements.LEAVING_MILLIS));
+        words.trim(ServerAnnouncements.LEAVING_MILLIS);
         assertEquals(0, words.size());
     }
 
@@ -41,11 +41,11 @@
 
     @Test
     void whatIsKeptAndToldIsBounded() {
-        for (int i = 0; i < 3 * ServerWords.MOST; i++) {
+        for (int i = 0; i < 3 * ServerAnnouncements.MOST; i++) {
             words.leaves("e-" + i, i);
         }
-        assertEquals(ServerWords.MOST, words.size());
-        assertEquals(ServerWords.MOST_TOLD, words.news().size());
+        assertEquals(ServerAnnouncements.MOST, words.size());
+        assertEquals(ServerAnnouncements.MOST_TOLD, words.news().size());
     }
 
     @Test
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerLifeTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerRestartTest.java
@@ -19,11 +19,11 @@
  * crashes in the midst of a burst and registers again under the same id, with another time of birth. Cause: what is believed
  * of a server was kept under its id alone.
  */
-class ServerLifeTest {
-    private static final ServiceTerms ENGINES = ServiceTerms.of("model", 300, 48, 300_000);
+class ServerRestartTest {
+    private static final ServiceConfig ENGINES = ServiceConfig.of("model", 300, 48, 300_000);
 
-    private static Registration born(String id, long born) {
-        return new Registration(id, born, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, false);
+    private static ServerRegistration born(String id, long born) {
+        return new ServerRegistration(id, born, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, false);
     }
 
     private static List<ServerChange.Kind> kinds(List<ServerChange> changes) {
@@ -34,7 +34,7 @@
     void aServerBornAgainUnderItsIdIsAnotherOne() {
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(born("e", 100), born("f", 100)), 0);
-        RelayServer first = directory.server("e@100");
+        ServerInstance first = directory.server("e@100");
         first.sent(9_000);
         for (int i = 0; i < 3; i++) {
             first.health().failed(10);
@@ -45,7 +45,7 @@
 
         assertEquals(List.of(ServerChange.Kind.GONE, ServerChange.Kind.SEEN), kinds(changes));
         assertEquals("e@100", changes.get(0).life());
-        RelayServer second = directory.server("e@200");
+        ServerInstance second = directory.server("e@200");
         assertTrue(first.gone());
         assertEquals(0, second.runningOfAll());
         assertEquals(0, second.promptTokensOfAll());
@@ -85,7 +85,7 @@
     void promptsOfAnEarlierLifeAreReadAgain() {
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(born("e", 100)), 0);
-        PromptAware placement = PromptAware.create();
+        PromptAwarePlacement placement = PromptAwarePlacement.create();
         Prompt prompt = Prompt.of(3_000, 80, List.of(new PromptPart("shared", 2_500), new PromptPart("own", 500)));
         PlacementRequest request = new PlacementRequest(route(), ENGINES, prompt, "north");
         placement.sent(request, placed(placement, request, directory), 0);
@@ -100,12 +100,13 @@
         assertEquals(3_000, placed(placement, request, directory).tokensToRead());
     }
 
-    private static Placement.Placed placed(PromptAware placement, PlacementRequest request, ServerDirectory directory) {
+    private static PlacementPolicy.Decision placed(
+            PromptAwarePlacement placement, PlacementRequest request, ServerDirectory directory) {
         return placement.place(request, directory.open("model"), 900).orElseThrow();
     }
 
     private static Route route() {
-        List<ServiceShare> shares = List.of(new ServiceShare("model", 1));
+        List<WeightedService> shares = List.of(new WeightedService("model", 1));
         return new Route("r", "h", "/", RouteKind.STREAM, true, shares, 2, 5_000, 300, 120, 0, false, true);
     }
 
@@ -114,6 +115,6 @@
     void aServerThatTellsNoBirthHasOneLife(long born, String life) {
         assertEquals(life, born("e", born).life());
         assertTrue(Stream.of(born("e", born))
-                .allMatch(one -> RelayServer.of(one).life().equals(life)));
+                .allMatch(one -> ServerInstance.of(one).life().equals(life)));
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
@@ -18,7 +18,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import org.tanagerhinge.core.attempt.AttemptEnd;
-import org.tanagerhinge.core.relay.RelayServer;
+import org.tanagerhinge.core.relay.ServerInstance;
 
 /**
  * One connection to one incarnation of a backend server, which carries one request at a time.
@@ -38,7 +38,7 @@
     private static final double IDLE_USED = 0.6;
 
     private final BackendPool pool;
-    private final RelayServer server;
+    private final ServerInstance server;
     private final AnswerDecoder decoder = new AnswerDecoder();
     private Channel channel;
     private AttemptListener attempt;
@@ -51,12 +51,12 @@
     private long idleMillis = IDLE_DEFAULT_MILLIS;
     private long idleSince;
 
-    BackendConnection(BackendPool pool, RelayServer server) {
+    BackendConnection(BackendPool pool, ServerInstance server) {
         this.pool = pool;
         this.server = server;
     }
 
-    RelayServer server() {
+    ServerInstance server() {
         return server;
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendPool.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendPool.java
@@ -17,7 +17,7 @@
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
 import jdk.net.ExtendedSocketOptions;
-import org.tanagerhinge.core.relay.RelayServer;
+import org.tanagerhinge.core.relay.ServerInstance;
 
 /** Connections to backend servers, kept by the life of a server, since an address may be used again by another one. */
 final class BackendPool {
@@ -49,10 +49,10 @@
 
     /** Hears what each answer says of its server, whoever the answer is for. */
     interface AnswerHearer {
-        void heard(RelayServer server, int status, AnswerTerms terms);
+        void heard(ServerInstance server, int status, AnswerTerms terms);
     }
 
-    void heard(RelayServer server, int status, AnswerTerms terms) {
+    void heard(ServerInstance server, int status, AnswerTerms terms) {
         hearer.heard(server, status, terms);
     }
 
@@ -73,7 +73,7 @@
      *
      * @param mostIdle longest idle time of a connection that is wanted, in milliseconds
      */
-    BackendConnection kept(RelayServer server, long mostIdle) {
+    BackendConnection kept(ServerInstance server, long mostIdle) {
         Deque<BackendConnection> connections = idle.get(server.life());
         while (connections != null && !connections.isEmpty()) {
             BackendConnection connection = connections.peekLast();
@@ -91,7 +91,7 @@
     }
 
     /** Opens a connection; {@code done} gets it, or null if none could be made. */
-    void connect(RelayServer server, Consumer<BackendConnection> done) {
+    void connect(ServerInstance server, Consumer<BackendConnection> done) {
         BackendConnection connection = new BackendConnection(this, server);
         all.computeIfAbsent(server.life(), id -> new HashSet<>()).add(connection);
         new Bootstrap()
@@ -147,7 +147,7 @@
      *
      * @param leaves whether a server has said that it leaves
      */
-    void sweep(Predicate<RelayServer> leaves) {
+    void sweep(Predicate<ServerInstance> leaves) {
         for (Deque<BackendConnection> connections : Set.copyOf(idle.values())) {
             for (BackendConnection connection : Set.copyOf(connections)) {
                 boolean leaving = !connection.server().open() || leaves.test(connection.server());
--- a/gateway/src/main/java/org/tanagerhinge/gateway/EndedServers.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/EndedServers.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
-import org.tanagerhinge.core.relay.RelayServer;
+import org.tanagerhinge.core.relay.ServerInstance;
 
 /**
  * Tells servers that have ended from connections that merely broke, and holds an end against what was in progress there.
@@ -37,7 +37,7 @@
     }
 
     /** Notes that the connection on which a request was in progress has broken. */
-    void brokeUnder(RelayServer server, RequestFingerprint request) {
+    void brokeUnder(ServerInstance server, RequestFingerprint request) {
         if (endedJustNow(server)) {
             gateway.endedUnder(server, Set.of(request));
             return;
@@ -53,12 +53,12 @@
         gateway.pool().connect(server, fresh -> answered(server, fresh));
     }
 
-    private boolean endedJustNow(RelayServer server) {
+    private boolean endedJustNow(ServerInstance server) {
         Long at = endedAt.get(server.life());
         return at != null && gateway.now() - at < MOMENT_MILLIS;
     }
 
-    private void answered(RelayServer server, BackendConnection fresh) {
+    private void answered(ServerInstance server, BackendConnection fresh) {
         Set<RequestFingerprint> under = asked.remove(server.life());
         if (fresh != null) {
             gateway.pool().idle(fresh);
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
@@ -20,17 +20,17 @@
 import org.tanagerhinge.core.attempt.RetryBudget;
 import org.tanagerhinge.core.relay.CallerLimits;
 import org.tanagerhinge.core.relay.Mechanism;
-import org.tanagerhinge.core.relay.Placement;
+import org.tanagerhinge.core.relay.PlacementPolicy;
 import org.tanagerhinge.core.relay.PlacementRequest;
 import org.tanagerhinge.core.relay.Prompt;
 import org.tanagerhinge.core.relay.PromptPart;
 import org.tanagerhinge.core.relay.RankGate;
-import org.tanagerhinge.core.relay.Registration;
 import org.tanagerhinge.core.relay.RelayConfig;
-import org.tanagerhinge.core.relay.RelayServer;
+import org.tanagerhinge.core.relay.ServerAnnouncements;
 import org.tanagerhinge.core.relay.ServerChange;
 import org.tanagerhinge.core.relay.ServerDirectory;
-import org.tanagerhinge.core.relay.ServerWords;
+import org.tanagerhinge.core.relay.ServerInstance;
+import org.tanagerhinge.core.relay.ServerRegistration;
 import org.tanagerhinge.node.log.LogEvent;
 import org.tanagerhinge.node.log.LogField;
 import org.tanagerhinge.node.log.LogLine;
@@ -55,10 +55,10 @@
     private final NodeMetrics metrics;
     private final BackendPool pool;
     private final ServerDirectory directory = ServerDirectory.create();
-    private final Placement placement;
+    private final PlacementPolicy placement;
     private final RetryBudget budget;
     private final RankGate ranks = RankGate.create();
-    private final ServerWords words = ServerWords.create();
+    private final ServerAnnouncements words = ServerAnnouncements.create();
     private final Quarantine quarantine = Quarantine.create();
     private final EndedServers endedServers = new EndedServers(this);
     private final Set<CallerConnection> callers = new HashSet<>();
@@ -68,7 +68,7 @@
     private boolean peersHeard;
     private int peersPresent;
     private long lastSweep;
-    private BiConsumer<RelayServer, Prompt> sentListener = (server, prompt) -> {};
+    private BiConsumer<ServerInstance, Prompt> sentListener = (server, prompt) -> {};
     private Consumer<RequestFingerprint> heldListener = request -> {};
     private Runnable suspicionListener = () -> {};
     private Consumer<String> begunListener = workspace -> {};
@@ -76,7 +76,11 @@
     private volatile int inProgress;
 
     private Gateway(
-            EventLoopGroup loop, Dialect dialect, GatewayOptions options, NodeMetrics metrics, Placement placement) {
+            EventLoopGroup loop,
+            Dialect dialect,
+            GatewayOptions options,
+            NodeMetrics metrics,
+            PlacementPolicy placement) {
         this.loop = loop;
         this.dialect = dialect;
         this.options = options;
@@ -90,7 +94,11 @@
 
     /** Returns a gateway that knows nothing yet. */
     public static Gateway create(
-            EventLoopGroup loop, Dialect dialect, GatewayOptions options, NodeMetrics metrics, Placement placement) {
+            EventLoopGroup loop,
+            Dialect dialect,
+            GatewayOptions options,
+            NodeMetrics metrics,
+            PlacementPolicy placement) {
         Gateway gateway = new Gateway(loop, dialect, options, metrics, placement);
         gateway.schedule(() -> gateway.repeat(gateway::sweep, () -> SWEEP_MILLIS), SWEEP_MILLIS);
         return gateway;
@@ -113,7 +121,7 @@
         return directory;
     }
 
-    Placement placement() {
+    PlacementPolicy placement() {
         return placement;
     }
 
@@ -125,12 +133,12 @@
         return ranks;
     }
 
-    ServerWords words() {
+    ServerAnnouncements words() {
         return words;
     }
 
     /** Takes what a server says of itself in an answer. */
-    private void answered(RelayServer server, int status, AnswerTerms terms) {
+    private void answered(ServerInstance server, int status, AnswerTerms terms) {
         long now = now();
         if (terms.leaving() && words.leaves(server.life(), now)) {
             tellLeaving(server.id(), "said so in an answer");
@@ -191,7 +199,7 @@
     }
 
     /** A server has ended while requests were in progress there. */
-    void endedUnder(RelayServer server, Set<RequestFingerprint> requests) {
+    void endedUnder(ServerInstance server, Set<RequestFingerprint> requests) {
         for (RequestFingerprint request : requests) {
             if (quarantine.ended(request, server.life(), now())) {
                 tellHeld(request, "servers ended under it, " + server.id() + " the last");
@@ -319,7 +327,7 @@
     }
 
     /** Takes a list of registered servers that was asked for at a time; returns whether it changed anything. */
-    boolean apply(List<Registration> registrations, long askedAt) {
+    boolean apply(List<ServerRegistration> registrations, long askedAt) {
         boolean wasInformed = informed();
         List<ServerChange> changes = directory.apply(registrations, askedAt);
         for (ServerChange change : changes) {
@@ -345,18 +353,18 @@
 
     /** Notes that a peer gave an engine parts of a prompt to read. */
     void keeps(String life, List<PromptPart> parts) {
-        RelayServer server = directory.server(life);
+        ServerInstance server = directory.server(life);
         if (server != null && config.isPresent()) {
             placement.kept(server, config.get().service(server.service()), parts, now());
         }
     }
 
     /** Tells {@code listener} of each prompt that an engine is given to read. */
-    void onSent(BiConsumer<RelayServer, Prompt> listener) {
+    void onSent(BiConsumer<ServerInstance, Prompt> listener) {
         sentListener = listener;
     }
 
-    void sent(PlacementRequest request, Placement.Placed placed) {
+    void sent(PlacementRequest request, PlacementPolicy.Decision placed) {
         placed.server().sent(placed.tokensToRead());
         placement.sent(request, placed, now());
         sentListener.accept(placed.server(), request.prompt());
@@ -367,14 +375,14 @@
      * ones are left out as long as half of the servers are left: when most seem to fail, the cause is hardly theirs, and
      * leaving them out would only crowd the rest.
      */
-    List<RelayServer> candidates(String service, Set<String> tried, long now) {
-        List<RelayServer> open = directory.open(service).stream()
+    List<ServerInstance> candidates(String service, Set<String> tried, long now) {
+        List<ServerInstance> open = directory.open(service).stream()
                 .filter(server -> words.takesRequests(server.life(), now))
                 .toList();
-        List<RelayServer> usable = new ArrayList<>();
-        List<RelayServer> untried = new ArrayList<>();
+        List<ServerInstance> usable = new ArrayList<>();
+        List<ServerInstance> untried = new ArrayList<>();
         int sound = 0;
-        for (RelayServer server : open) {
+        for (ServerInstance server : open) {
             boolean fine = !uses(Mechanism.EJECTION) || (server.health().usable(now) && !silent(server, now));
             sound += fine ? 1 : 0;
             if (!tried.contains(server.id())) {
@@ -384,7 +392,7 @@
                 }
             }
         }
-        for (RelayServer server : untried) {
+        for (ServerInstance server : untried) {
             if (uses(Mechanism.EJECTION) && server.health().probeDue(now)) {
                 if (uses(Mechanism.PROBING)) {
                     server.health().probeSent(now);
@@ -396,11 +404,11 @@
         return usable.isEmpty() || sound * 2 < open.size() ? untried : usable;
     }
 
-    private boolean silent(RelayServer server, long now) {
+    private boolean silent(ServerInstance server, long now) {
         return now - lastSweep < STOOD_STILL_MILLIS && server.silentFor(now) > SILENT_MILLIS;
     }
 
-    void attemptFailed(RelayServer server, AttemptEnd end) {
+    void attemptFailed(ServerInstance server, AttemptEnd end) {
         count("attempt_" + end.name().toLowerCase(Locale.ROOT));
         boolean wasUsable = server.health().usable(now());
         switch (end) {
@@ -411,7 +419,7 @@
         tellHealth(server, wasUsable);
     }
 
-    void answered(RelayServer server, int status) {
+    void answered(ServerInstance server, int status) {
         boolean wasUsable = server.health().usable(now());
         if (status >= 500) {
             server.health().failed(now());
@@ -421,7 +429,7 @@
         tellHealth(server, wasUsable);
     }
 
-    private void tellHealth(RelayServer server, boolean wasUsable) {
+    private void tellHealth(ServerInstance server, boolean wasUsable) {
         boolean usable = server.health().usable(now());
         if (usable != wasUsable) {
             count(usable ? "server_back" : "server_ejected");
@@ -432,7 +440,7 @@
         }
     }
 
-    void load(RelayServer server, AnswerTerms.ServerLoad load) {
+    void load(ServerInstance server, AnswerTerms.ServerLoad load) {
         if (!peersHeard) {
             server.told(load.running(), load.waiting());
         }
@@ -453,7 +461,7 @@
     }
 
     /** Notes that another incarnation answers at a server's address. */
-    void replaced(RelayServer server) {
+    void replaced(ServerInstance server) {
         LogLine.of(LogEvent.SERVER_REPLACED)
                 .with(LogField.SERVER, server.id())
                 .with(LogField.SERVICE, server.service())
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import org.tanagerhinge.core.duty.DutyPort;
-import org.tanagerhinge.core.relay.Placement;
+import org.tanagerhinge.core.relay.PlacementPolicy;
 import org.tanagerhinge.core.relay.RelayConfig;
 import org.tanagerhinge.node.daemon.Daemon;
 import org.tanagerhinge.node.log.LogEvent;
@@ -74,7 +74,7 @@
     public static GatewayDaemon start(
             GatewayOptions options,
             Dialect dialect,
-            Placement placement,
+            PlacementPolicy placement,
             Function<EventLoopGroup, MetadataStore> store,
             Function<EventLoopGroup, DutyPort> dutyCalls,
             Optional<ServerSocketChannel> early) {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/MetadataStore.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/MetadataStore.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
-import org.tanagerhinge.core.relay.Registration;
 import org.tanagerhinge.core.relay.RelayConfig;
+import org.tanagerhinge.core.relay.ServerRegistration;
 
 /** The calls to the platform's store that a gateway makes; callbacks come on the event loop. */
 public interface MetadataStore {
@@ -52,7 +52,7 @@
      *
      * @param unreadable entries that name no server, since another writer left something else there
      */
-    record Listing(List<Registration> servers, List<UnreadableEntry> unreadable) {}
+    record Listing(List<ServerRegistration> servers, List<UnreadableEntry> unreadable) {}
 
     /** A key of the store under which there is no registration, and what is wrong with what stands there. */
     record UnreadableEntry(String key, String why) {}
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
@@ -13,7 +13,7 @@
 import org.tanagerhinge.core.relay.LaneDemand;
 import org.tanagerhinge.core.relay.PeerReport;
 import org.tanagerhinge.core.relay.PromptPart;
-import org.tanagerhinge.core.relay.Registration;
+import org.tanagerhinge.core.relay.ServerRegistration;
 import org.tanagerhinge.wire.peer.KeptParts;
 import org.tanagerhinge.wire.peer.Part;
 import org.tanagerhinge.wire.peer.PeerState;
@@ -47,7 +47,7 @@
             DutyWord duty) {}
 
     /** A server list with its age in milliseconds. */
-    record Servers(List<Registration> list, long ageMillis) {}
+    record Servers(List<ServerRegistration> list, long ageMillis) {}
 
     static byte[] state(Told told) {
         PeerReport report = told.report();
@@ -89,9 +89,9 @@
 
     static Told state(byte[] bytes) throws InvalidProtocolBufferException {
         PeerState state = PeerState.parseFrom(bytes);
-        Map<String, PeerReport.Use> uses = new HashMap<>();
+        Map<String, PeerReport.InstanceLoad> uses = new HashMap<>();
         for (ServerUse use : state.getUsesList()) {
-            uses.put(use.getServer(), new PeerReport.Use(use.getRunning(), use.getPromptTokens()));
+            uses.put(use.getServer(), new PeerReport.InstanceLoad(use.getRunning(), use.getPromptTokens()));
         }
         Map<String, LaneDemand> demands = new HashMap<>();
         for (ServiceDemand demand : state.getDemandsList()) {
@@ -151,7 +151,7 @@
     static byte[] servers(Servers servers) {
         ServerList.Builder list =
                 ServerList.newBuilder().setAgeMillis((int) Math.min(Integer.MAX_VALUE, servers.ageMillis()));
-        for (Registration server : servers.list()) {
+        for (ServerRegistration server : servers.list()) {
             list.addServers(ServerEntry.newBuilder()
                     .setId(server.id())
                     .setBorn(server.born())
@@ -166,9 +166,9 @@
 
     static Servers servers(byte[] bytes) throws InvalidProtocolBufferException {
         ServerList list = ServerList.parseFrom(bytes);
-        List<Registration> servers = new ArrayList<>();
+        List<ServerRegistration> servers = new ArrayList<>();
         for (ServerEntry entry : list.getServersList()) {
-            servers.add(new Registration(
+            servers.add(new ServerRegistration(
                     entry.getId(),
                     entry.getBorn(),
                     entry.getService(),
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerDoor.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerDoor.java
@@ -12,7 +12,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.Optional;
-import org.tanagerhinge.core.relay.RelayServer;
+import org.tanagerhinge.core.relay.ServerInstance;
 
 /** Answers peers that are behind with this gateway's configuration and server list, and hears what they have counted. */
 final class PeerDoor extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -59,7 +59,7 @@
     private byte[] servers() {
         return PeerCodec.servers(new PeerCodec.Servers(
                 gateway.directory().all().stream()
-                        .map(RelayServer::registration)
+                        .map(ServerInstance::registration)
                         .toList(),
                 gateway.directory().known()
                         ? gateway.now() - gateway.directory().lastList()
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Peers.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Peers.java
@@ -27,13 +27,13 @@
 import org.tanagerhinge.core.attempt.Quarantine;
 import org.tanagerhinge.core.duty.DutyWord;
 import org.tanagerhinge.core.relay.Mechanism;
-import org.tanagerhinge.core.relay.PeerLoad;
+import org.tanagerhinge.core.relay.PeerLoadUpdater;
 import org.tanagerhinge.core.relay.PeerReport;
 import org.tanagerhinge.core.relay.PeerTable;
 import org.tanagerhinge.core.relay.Prompt;
 import org.tanagerhinge.core.relay.RelayConfig;
-import org.tanagerhinge.core.relay.RelayServer;
-import org.tanagerhinge.core.relay.ReportPace;
+import org.tanagerhinge.core.relay.ReportSchedule;
+import org.tanagerhinge.core.relay.ServerInstance;
 import org.tanagerhinge.node.daemon.Incarnation;
 import org.tanagerhinge.node.log.LogEvent;
 import org.tanagerhinge.node.log.LogField;
@@ -54,7 +54,7 @@
     private final Gateway gateway;
     private final EventLoopGroup loop;
     private final PeerTable table;
-    private final PeerLoad load;
+    private final PeerLoadUpdater load;
     private final Function<byte[], RelayConfig> decoder;
     private final long incarnation = Incarnation.next();
     private final Set<InetSocketAddress> addresses = new HashSet<>();
@@ -78,7 +78,7 @@
         this.gateway = gateway;
         this.loop = loop;
         this.table = PeerTable.of(gateway.options().name());
-        this.load = PeerLoad.of(gateway.directory()::server);
+        this.load = PeerLoadUpdater.of(gateway.directory()::server);
         this.decoder = decoder;
     }
 
@@ -148,9 +148,9 @@
     }
 
     /** Notes that a server was given a request: its prompt's parts are told with the next report. */
-    void sent(RelayServer server, Prompt prompt) {
+    void sent(ServerInstance server, Prompt prompt) {
         tellIfDue(prompt.inputTokens());
-        if (kept.size() < ReportPace.MOST_KEPT && prompt.parts().size() > 1) {
+        if (kept.size() < ReportSchedule.MOST_KEPT && prompt.parts().size() > 1) {
             kept.add(new PeerCodec.Kept(server.life(), prompt.sharedParts()));
         }
     }
@@ -164,13 +164,13 @@
 
     /** Returns the time between two reports of a node whose load hardly changes; it grows with the number of peers. */
     long intervalMillis() {
-        return ReportPace.intervalMillis(addresses.size());
+        return ReportSchedule.intervalMillis(addresses.size());
     }
 
     private void tellIfDue(int tokens) {
         tokensSince += tokens;
-        if (tokensSince >= ReportPace.DUE_TOKENS
-                && gateway.now() - toldAt >= ReportPace.leastMillis(addresses.size())) {
+        if (tokensSince >= ReportSchedule.DUE_TOKENS
+                && gateway.now() - toldAt >= ReportSchedule.leastMillis(addresses.size())) {
             tellNow();
         }
     }
@@ -224,10 +224,10 @@
 
     private PeerReport state() {
         long now = gateway.now();
-        Map<String, PeerReport.Use> uses = new HashMap<>();
-        for (RelayServer server : gateway.directory().all()) {
+        Map<String, PeerReport.InstanceLoad> uses = new HashMap<>();
+        for (ServerInstance server : gateway.directory().all()) {
             if (server.running() > 0) {
-                uses.put(server.life(), new PeerReport.Use(server.running(), server.promptTokens()));
+                uses.put(server.life(), new PeerReport.InstanceLoad(server.running(), server.promptTokens()));
             }
         }
         return new PeerReport(
@@ -247,7 +247,7 @@
     private void hear(PeerCodec.Told told) {
         PeerReport report = told.report();
         long now = gateway.now();
-        Map<String, PeerReport.Use> before = table.uses(report.name(), now);
+        Map<String, PeerReport.InstanceLoad> before = table.uses(report.name(), now);
         if (!table.hear(report, now)) {
             return;
         }
@@ -278,7 +278,7 @@
      * Gives placement what one peer's report has changed. Adding up all peers' at each report would cost a node of a large
      * system the square of their number; that is done four times a second, when those that have fallen silent drop out.
      */
-    private void takeChange(Map<String, PeerReport.Use> before, Map<String, PeerReport.Use> after) {
+    private void takeChange(Map<String, PeerReport.InstanceLoad> before, Map<String, PeerReport.InstanceLoad> after) {
         if (!gateway.uses(Mechanism.PEER_LOAD)) {
             return;
         }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
@@ -17,12 +17,12 @@
 import io.netty.util.concurrent.Future;
 import org.tanagerhinge.core.attempt.AttemptEnd;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
-import org.tanagerhinge.core.relay.Placement;
+import org.tanagerhinge.core.relay.PlacementPolicy;
 import org.tanagerhinge.core.relay.PlacementRequest;
 import org.tanagerhinge.core.relay.RankGate;
-import org.tanagerhinge.core.relay.RelayServer;
 import org.tanagerhinge.core.relay.Route;
 import org.tanagerhinge.core.relay.RouteKind;
+import org.tanagerhinge.core.relay.ServerInstance;
 
 /** One request at one backend server: sends it, and passes on what of the answer is whole and not yet known. */
 final class RelayAttempt implements AttemptListener {
@@ -39,8 +39,8 @@
     private final AnswerProgress progress;
     private final PlacementRequest request;
     private final Route route;
-    private final Placement.Placed placed;
-    private final RelayServer server;
+    private final PlacementPolicy.Decision placed;
+    private final ServerInstance server;
     private final long began;
     private BackendConnection connection;
     private boolean sent;
@@ -49,12 +49,12 @@
     private boolean paid;
     private boolean streaming;
     private Future<?> patience;
-    private RankGate.Waiting waiting;
+    private RankGate.PendingRequest waiting;
     private HttpResponse answer;
     private CompositeByteBuf held;
     private EventSplitter events;
 
-    RelayAttempt(Gateway gateway, RelayExchange exchange, PlacementRequest request, Placement.Placed placed) {
+    RelayAttempt(Gateway gateway, RelayExchange exchange, PlacementRequest request, PlacementPolicy.Decision placed) {
         this.gateway = gateway;
         this.exchange = exchange;
         this.caller = exchange.caller();
@@ -66,7 +66,7 @@
         this.began = gateway.now();
     }
 
-    RelayServer server() {
+    ServerInstance server() {
         return server;
     }
 
@@ -83,7 +83,7 @@
     /** Takes a kept connection, or makes one, and sends the request. */
     void start() {
         gateway.sent(request, placed);
-        waiting = RankGate.Waiting.of(server.life(), exchange.rank(), began + route.targetMillis());
+        waiting = RankGate.PendingRequest.of(server.life(), exchange.rank(), began + route.targetMillis());
         gateway.ranks().sent(waiting);
         long mostIdle = route.idempotent() ? Long.MAX_VALUE : FRESH_MILLIS;
         BackendConnection kept = gateway.pool().kept(server, mostIdle);
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
@@ -18,14 +18,14 @@
 import org.tanagerhinge.core.attempt.AttemptEnd;
 import org.tanagerhinge.core.attempt.AttemptHistory;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
-import org.tanagerhinge.core.relay.Admission;
+import org.tanagerhinge.core.relay.AdmissionControl;
 import org.tanagerhinge.core.relay.Mechanism;
-import org.tanagerhinge.core.relay.Placement;
+import org.tanagerhinge.core.relay.PlacementPolicy;
 import org.tanagerhinge.core.relay.PlacementRequest;
 import org.tanagerhinge.core.relay.RelayConfig;
-import org.tanagerhinge.core.relay.RelayServer;
 import org.tanagerhinge.core.relay.Route;
-import org.tanagerhinge.core.relay.WorkspaceTerms;
+import org.tanagerhinge.core.relay.ServerInstance;
+import org.tanagerhinge.core.relay.WorkspaceConfig;
 import org.tanagerhinge.core.result.ResultCode;
 
 /** One request of a caller, from its last byte to the last byte of its answer. */
@@ -50,7 +50,7 @@
     private RelayConfig config;
     private Route route;
     private String service;
-    private Optional<WorkspaceTerms> workspace = Optional.empty();
+    private Optional<WorkspaceConfig> workspace = Optional.empty();
     private long giveUpAt;
     private Future<?> timer;
     private RelayAttempt attempt;
@@ -130,15 +130,15 @@
             endUnserved("servers end under it", Refusal.notRun(ResultCode.REQUEST_HELD, held.getAsLong()));
             return;
         }
-        List<RelayServer> candidates = gateway.candidates(service, tried, now);
+        List<ServerInstance> candidates = gateway.candidates(service, tried, now);
         PlacementRequest request =
                 new PlacementRequest(route, config.service(service), terms.prompt(), gateway.domain());
-        Optional<Placement.Placed> placed = gateway.placement().place(request, candidates, now);
+        Optional<PlacementPolicy.Decision> placed = gateway.placement().place(request, candidates, now);
         if (placed.isEmpty()) {
             noServer();
             return;
         }
-        RelayServer chosen = placed.get().server();
+        ServerInstance chosen = placed.get().server();
         if (gateway.uses(Mechanism.RANK_GATE)
                 && history.sends() == 0
                 && gateway.ranks().yields(rank(), chosen.life(), now)) {
@@ -157,13 +157,13 @@
     }
 
     /** Refuses a request of the last rank that couldn't be in time where it would go; returns whether it did. */
-    private boolean turnedAway(Placement.Placed placed) {
+    private boolean turnedAway(PlacementPolicy.Decision placed) {
         if (history.sends() > 0
                 || !gateway.uses(Mechanism.ADMISSION)
                 || !config.leastUrgent(workspace, route, service)) {
             return false;
         }
-        OptionalLong comeBack = Admission.turnedAway(route, placed.waitMillis(), leftMillis(), gateway.draw());
+        OptionalLong comeBack = AdmissionControl.turnedAway(route, placed.waitMillis(), leftMillis(), gateway.draw());
         comeBack.ifPresent(millis -> {
             trail.turnedAway(placed);
             refuse(Refusal.notRun(ResultCode.QUEUE_FULL, millis));
@@ -214,7 +214,7 @@
     RequestFingerprint fingerprint() {
         if (fingerprint == null) {
             fingerprint = RequestFingerprint.of(
-                    workspace.map(WorkspaceTerms::name).orElse(""),
+                    workspace.map(WorkspaceConfig::name).orElse(""),
                     head.method().name(),
                     head.headers().get(HttpHeaderNames.HOST, ""),
                     head.uri(),
@@ -227,7 +227,7 @@
         return config.rank(workspace, route);
     }
 
-    private int level(Placement.Placed placed) {
+    private int level(PlacementPolicy.Decision placed) {
         return config.level(workspace, route, service, placed.step());
     }
 
@@ -237,7 +237,7 @@
     }
 
     /** Returns the request as it is sent to the server of a choice; its body is shared with this one. */
-    FullHttpRequest requestTo(Placement.Placed placed) {
+    FullHttpRequest requestTo(PlacementPolicy.Decision placed) {
         HttpHeaders headers = head.headers().copy();
         HopHeaders.remove(headers);
         gateway.dialect()
@@ -246,7 +246,7 @@
                         new SendTerms(
                                 placed.server().id(),
                                 Math.max(1, leftMillis()),
-                                workspace.map(WorkspaceTerms::name),
+                                workspace.map(WorkspaceConfig::name),
                                 level(placed),
                                 progress.resumeAfter(),
                                 placed.fetch().map(fetch -> fetch.from().address()),
@@ -314,7 +314,7 @@
     }
 
     /** Its attempt has brought a whole answer, which is about to be written to the end. */
-    void answered(int status, RelayServer server) {
+    void answered(int status, ServerInstance server) {
         attempt = null;
         gateway.answered(server, status);
         if (status < FIRST_ERROR && !gateway.quarantine().empty()) {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RequestTrail.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RequestTrail.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 import org.tanagerhinge.core.attempt.AttemptEnd;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
-import org.tanagerhinge.core.relay.Placement;
-import org.tanagerhinge.core.relay.RelayServer;
+import org.tanagerhinge.core.relay.PlacementPolicy;
 import org.tanagerhinge.core.relay.Route;
 import org.tanagerhinge.core.relay.RouteKind;
-import org.tanagerhinge.core.relay.WorkspaceTerms;
+import org.tanagerhinge.core.relay.ServerInstance;
+import org.tanagerhinge.core.relay.WorkspaceConfig;
 import org.tanagerhinge.node.log.LogEvent;
 import org.tanagerhinge.node.log.LogField;
 import org.tanagerhinge.node.log.LogLine;
@@ -40,11 +40,11 @@
         return LogLine.of(event, failure).with(LogField.ID, id);
     }
 
-    void routed(Route found, Optional<WorkspaceTerms> workspace, String service, int rank, long leftMillis) {
+    void routed(Route found, Optional<WorkspaceConfig> workspace, String service, int rank, long leftMillis) {
         route = Optional.of(found);
         line(LogEvent.ROUTED, false)
                 .with(LogField.ROUTE, found.name())
-                .with(LogField.WORKSPACE, workspace.map(WorkspaceTerms::name).orElse(""))
+                .with(LogField.WORKSPACE, workspace.map(WorkspaceConfig::name).orElse(""))
                 .with(LogField.SERVICE, service)
                 .with(LogField.CONFIG, gateway.configVersion())
                 .with(
@@ -56,9 +56,9 @@
     }
 
     /** Another attempt begins; the server's load is as it was when it was chosen. */
-    void sent(Placement.Placed placed, int candidates, int level) {
+    void sent(PlacementPolicy.Decision placed, int candidates, int level) {
         attempts++;
-        RelayServer chosen = placed.server();
+        ServerInstance chosen = placed.server();
         server = chosen.id();
         LogLine line = line(LogEvent.SENT, false)
                 .with(LogField.SERVER, server)
@@ -107,13 +107,13 @@
     }
 
     /** The request has to yield to more urgent ones at the server that was chosen for it. */
-    void yields(RelayServer chosen, int rank) {
+    void yields(ServerInstance chosen, int rank) {
         server = chosen.id();
         why = "requests more urgent than rank " + rank + " are overdue there";
     }
 
     /** The request could not be in time where it would go. */
-    void turnedAway(Placement.Placed placed) {
+    void turnedAway(PlacementPolicy.Decision placed) {
         gateway.count("turned_away");
         server = placed.server().id();
         why = "reading takes " + Math.round(placed.waitMillis()) + " ms there";
--- a/gateway/src/test/java/org/tanagerhinge/gateway/LoopsTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/LoopsTest.java
@@ -27,7 +27,7 @@
 import org.tanagerhinge.core.attempt.RequestFingerprint;
 import org.tanagerhinge.core.duty.DutyPort;
 import org.tanagerhinge.core.relay.CallerLimits;
-import org.tanagerhinge.core.relay.LeastInFlight;
+import org.tanagerhinge.core.relay.LeastInFlightPlacement;
 import org.tanagerhinge.core.relay.Prompt;
 import org.tanagerhinge.core.relay.RelayConfig;
 import org.tanagerhinge.node.metrics.NodeMetrics;
@@ -163,7 +163,7 @@
             throw new IllegalStateException("no duties");
         };
         return GatewayDaemon.start(
-                options, new NoDialect(), LeastInFlight.create(), loop -> store, noDuties, Optional.empty());
+                options, new NoDialect(), LeastInFlightPlacement.create(), loop -> store, noDuties, Optional.empty());
     }
 
     private static boolean comesToHold(BooleanSupplier condition) throws InterruptedException {
@@ -213,7 +213,7 @@
                             Optional.empty(),
                             Set.of()),
                     NodeMetrics.create(),
-                    LeastInFlight.create());
+                    LeastInFlightPlacement.create());
             AtomicInteger steps = new AtomicInteger();
             gateway.repeat(
                     () -> {
--- a/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
@@ -13,7 +13,7 @@
 import org.tanagerhinge.core.attempt.RequestFingerprint;
 import org.tanagerhinge.core.duty.DutyWord;
 import org.tanagerhinge.core.relay.PeerReport;
-import org.tanagerhinge.core.relay.ServerWords;
+import org.tanagerhinge.core.relay.ServerAnnouncements;
 
 /** What gateways tell each other, as it goes over the wire. */
 class PeerCodecTest {
@@ -44,7 +44,7 @@
     @Test
     void theMostThatOneReportTellsOfServersAndRequestsIsWellUnderASecondsShare() {
         Quarantine quarantine = Quarantine.create();
-        ServerWords words = ServerWords.create();
+        ServerAnnouncements words = ServerAnnouncements.create();
         for (int i = 0; i < 128; i++) {
             for (String life : List.of("i-1@1700000000000", "i-2@1700000000000", "i-3@1700000000000")) {
                 quarantine.ended(new RequestFingerprint(i, i), life, 0);
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
@@ -16,7 +16,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
-import org.tanagerhinge.core.relay.PromptAware;
+import org.tanagerhinge.core.relay.PromptAwarePlacement;
 import org.tanagerhinge.gateway.GatewayDaemon;
 import org.tanagerhinge.gateway.GatewayOptions;
 import org.tanagerhinge.node.log.LogSetup;
@@ -102,7 +102,7 @@
                             new GatewayOptions.Bounds(Duration.ofSeconds(8), 0.2, 50, Duration.ofSeconds(10)),
                             Optional.empty(),
                             Set.of()),
-                    PromptAware.create(),
+                    PromptAwarePlacement.create(),
                     store.address());
             while (!gateway.ready()) {
                 Thread.onSpinWait();
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetModel.java
@@ -18,8 +18,8 @@
 import org.tanagerhinge.core.relay.RelayConfig;
 import org.tanagerhinge.core.relay.Route;
 import org.tanagerhinge.core.relay.RouteKind;
-import org.tanagerhinge.core.relay.ServiceShare;
-import org.tanagerhinge.core.relay.WorkspaceTerms;
+import org.tanagerhinge.core.relay.WeightedService;
+import org.tanagerhinge.core.relay.WorkspaceConfig;
 
 /** Plays a scene: the same events in the same order for the same seed. */
 public final class FleetModel {
@@ -68,7 +68,7 @@
                             "/" + kind.name() + "/",
                             RouteKind.STREAM,
                             kind.resumable(),
-                            List.of(new ServiceShare("model", 1)),
+                            List.of(new WeightedService("model", 1)),
                             2,
                             kind.timeoutMillis(),
                             kind.targetMillis(),
@@ -80,11 +80,11 @@
                 drawParts(kind.name() + i, kind.shared().get(i));
             }
         }
-        Map<String, WorkspaceTerms> workspaces = scene.preferred() <= 0
+        Map<String, WorkspaceConfig> workspaces = scene.preferred() <= 0
                 ? Map.of()
                 : Map.of(
-                        PREFERRED, new WorkspaceTerms(PREFERRED, OptionalInt.of(0)),
-                        OTHERS, new WorkspaceTerms(OTHERS, OptionalInt.of(1)));
+                        PREFERRED, new WorkspaceConfig(PREFERRED, OptionalInt.of(0)),
+                        OTHERS, new WorkspaceConfig(OTHERS, OptionalInt.of(1)));
         this.config = RelayConfig.of(1, List.copyOf(routes.values()), List.of(), workspaces, CallerLimits.DEFAULT);
         for (int i = 0; i < scene.gateways(); i++) {
             gateways.add(new ModelGateway("g" + i, this, scene, off));
@@ -150,7 +150,7 @@
         return scene.placesPreempt();
     }
 
-    private Optional<WorkspaceTerms> drawWorkspace() {
+    private Optional<WorkspaceConfig> drawWorkspace() {
         if (scene.preferred() <= 0) {
             return Optional.empty();
         }
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelCall.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelCall.java
@@ -3,16 +3,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.tanagerhinge.core.relay.Placement;
+import org.tanagerhinge.core.relay.PlacementPolicy;
 import org.tanagerhinge.core.relay.PlacementRequest;
 import org.tanagerhinge.core.relay.Prompt;
 import org.tanagerhinge.core.relay.RankGate;
-import org.tanagerhinge.core.relay.WorkspaceTerms;
+import org.tanagerhinge.core.relay.WorkspaceConfig;
 
 /** One request of a caller, with its tries. */
 final class ModelCall {
     final PromptKind kind;
-    final Optional<WorkspaceTerms> workspace;
+    final Optional<WorkspaceConfig> workspace;
     final Prompt prompt;
     final int outputTokens;
     final double firstAsked;
@@ -25,8 +25,8 @@
     ModelGateway gateway;
     EngineModel engine;
     PlacementRequest request;
-    Placement.Placed placed;
-    RankGate.Waiting waiting;
+    PlacementPolicy.Decision placed;
+    RankGate.PendingRequest waiting;
     double sentAt;
     int level;
     long sequence;
@@ -43,7 +43,7 @@
 
     ModelCall(
             PromptKind kind,
-            Optional<WorkspaceTerms> workspace,
+            Optional<WorkspaceConfig> workspace,
             Prompt prompt,
             int outputTokens,
             double now,
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
@@ -10,20 +10,20 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.tanagerhinge.core.relay.Admission;
+import org.tanagerhinge.core.relay.AdmissionControl;
 import org.tanagerhinge.core.relay.Mechanism;
-import org.tanagerhinge.core.relay.PeerLoad;
+import org.tanagerhinge.core.relay.PeerLoadUpdater;
 import org.tanagerhinge.core.relay.PeerReport;
 import org.tanagerhinge.core.relay.PeerTable;
-import org.tanagerhinge.core.relay.Placement;
+import org.tanagerhinge.core.relay.PlacementPolicy;
 import org.tanagerhinge.core.relay.PlacementRequest;
-import org.tanagerhinge.core.relay.PromptAware;
+import org.tanagerhinge.core.relay.PromptAwarePlacement;
 import org.tanagerhinge.core.relay.PromptPart;
 import org.tanagerhinge.core.relay.RankGate;
-import org.tanagerhinge.core.relay.Registration;
-import org.tanagerhinge.core.relay.RelayServer;
-import org.tanagerhinge.core.relay.ReportPace;
-import org.tanagerhinge.core.relay.ServiceTerms;
+import org.tanagerhinge.core.relay.ReportSchedule;
+import org.tanagerhinge.core.relay.ServerInstance;
+import org.tanagerhinge.core.relay.ServerRegistration;
+import org.tanagerhinge.core.relay.ServiceConfig;
 
 /** One gateway: the real decision code, and reports of its peers that are as late as those of a deployed one. */
 final class ModelGateway {
@@ -34,13 +34,13 @@
     private final String name;
     private final FleetModel fleet;
     private final FleetScene scene;
-    private final ServiceTerms service;
-    private final Placement placement;
+    private final ServiceConfig service;
+    private final PlacementPolicy placement;
     private final Set<Mechanism> off;
     private final RankGate ranks = RankGate.create();
     private final PeerTable table;
-    private final Map<String, RelayServer> servers = new LinkedHashMap<>();
-    private final PeerLoad load = PeerLoad.of(servers::get);
+    private final Map<String, ServerInstance> servers = new LinkedHashMap<>();
+    private final PeerLoadUpdater load = PeerLoadUpdater.of(servers::get);
     private final List<KeptParts> kept = new ArrayList<>();
     private long reports;
     private long tokensSince;
@@ -54,9 +54,9 @@
         this.scene = scene;
         EngineTerms engine = scene.engine();
         this.service =
-                new ServiceTerms("model", 300, engine.slots(), engine.memoryTokens(), 1, 8_000 / engine.fetchMicros());
+                new ServiceConfig("model", 300, engine.slots(), engine.memoryTokens(), 1, 8_000 / engine.fetchMicros());
         this.off = off;
-        this.placement = PromptAware.without(off);
+        this.placement = PromptAwarePlacement.without(off);
         this.table = PeerTable.of(name);
         placement.tightestPause(
                 scene.kinds().stream().mapToLong(PromptKind::gapMillis).min().orElse(120));
@@ -64,7 +64,7 @@
             String id = FleetModel.engineId(i);
             servers.put(
                     id,
-                    RelayServer.of(new Registration(
+                    ServerInstance.of(new ServerRegistration(
                             id, 0, "model", new InetSocketAddress("127.0.0.1", 1), "d", engine.slots(), false)));
         }
     }
@@ -73,7 +73,7 @@
         return (long) now;
     }
 
-    RelayServer server(String id) {
+    ServerInstance server(String id) {
         return servers.get(id);
     }
 
@@ -83,15 +83,15 @@
         if (call.over) {
             return;
         }
-        List<RelayServer> candidates = candidates(tried, millis(now));
+        List<ServerInstance> candidates = candidates(tried, millis(now));
         PlacementRequest request = new PlacementRequest(fleet.route(call.kind), service, call.prompt, "d");
         call.request = request;
-        Optional<Placement.Placed> placed = placement.place(request, candidates, millis(now));
+        Optional<PlacementPolicy.Decision> placed = placement.place(request, candidates, millis(now));
         if (placed.isEmpty() || call.sends >= MOST_SENDS) {
             fleet.refused(call, 300 + fleet.random().nextInt(300), "no_server");
             return;
         }
-        RelayServer chosen = placed.get().server();
+        ServerInstance chosen = placed.get().server();
         if (call.sends == 0
                 && !off.contains(Mechanism.RANK_GATE)
                 && ranks.yields(rank(call), chosen.life(), millis(now))) {
@@ -100,7 +100,7 @@
         }
         boolean last = fleet.config().leastUrgent(call.workspace, request.route(), service.name());
         if (call.sends == 0 && last && !off.contains(Mechanism.ADMISSION)) {
-            OptionalLong comeBack = Admission.turnedAway(
+            OptionalLong comeBack = AdmissionControl.turnedAway(
                     request.route(),
                     placed.get().waitMillis(),
                     millis(call.deadline - now),
@@ -123,7 +123,7 @@
         call.sequence = fleet.nextSequence();
         chosen.sent(placed.get().tokensToRead());
         placement.sent(request, placed.get(), millis(now));
-        call.waiting = RankGate.Waiting.of(chosen.life(), rank(call), millis(now) + call.kind.targetMillis());
+        call.waiting = RankGate.PendingRequest.of(chosen.life(), rank(call), millis(now) + call.kind.targetMillis());
         ranks.sent(call.waiting);
         noteKept(chosen, call);
         EngineModel engine = fleet.engine(chosen.id());
@@ -144,9 +144,9 @@
         return fleet.config().rank(call.workspace, call.request.route());
     }
 
-    private List<RelayServer> candidates(Set<String> tried, long now) {
-        List<RelayServer> usable = new ArrayList<>();
-        for (RelayServer server : servers.values()) {
+    private List<ServerInstance> candidates(Set<String> tried, long now) {
+        List<ServerInstance> usable = new ArrayList<>();
+        for (ServerInstance server : servers.values()) {
             if (!tried.contains(server.id()) && server.health().probeDue(now)) {
                 server.health().probeSent(now);
                 return List.of(server);
@@ -158,12 +158,12 @@
         return usable;
     }
 
-    private void noteKept(RelayServer server, ModelCall call) {
-        if (kept.size() < ReportPace.MOST_KEPT) {
+    private void noteKept(ServerInstance server, ModelCall call) {
+        if (kept.size() < ReportSchedule.MOST_KEPT) {
             kept.add(new KeptParts(server.life(), call.prompt.sharedParts()));
         }
         tokensSince += call.prompt.inputTokens();
-        if (tokensSince >= ReportPace.DUE_TOKENS && fleet.now() - toldAt >= ReportPace.leastMillis(peers())) {
+        if (tokensSince >= ReportSchedule.DUE_TOKENS && fleet.now() - toldAt >= ReportSchedule.leastMillis(peers())) {
             tell();
         }
     }
@@ -175,7 +175,7 @@
     /** The first event of an answer has come. */
     void began(ModelCall call) {
         ranks.settled(call.waiting);
-        RelayServer server = call.placed.server();
+        ServerInstance server = call.placed.server();
         server.read(call.placed.tokensToRead());
         server.health().succeeded();
         placement.read(call.request, call.placed, millis(fleet.now() - call.sentAt));
@@ -184,7 +184,7 @@
     /** A request has left its engine, whichever way. */
     void settle(ModelCall call, boolean reading) {
         ranks.settled(call.waiting);
-        RelayServer server = call.placed.server();
+        ServerInstance server = call.placed.server();
         if (reading) {
             server.read(call.placed.tokensToRead());
         }
@@ -196,17 +196,17 @@
         table.trim(millis(fleet.now()));
         takeSums();
         tell();
-        fleet.at(fleet.now() + ReportPace.intervalMillis(peers()), this::report);
+        fleet.at(fleet.now() + ReportSchedule.intervalMillis(peers()), this::report);
     }
 
     private void tell() {
-        Map<String, PeerReport.Use> uses = new HashMap<>();
-        for (RelayServer server : servers.values()) {
+        Map<String, PeerReport.InstanceLoad> uses = new HashMap<>();
+        for (ServerInstance server : servers.values()) {
             if (server.running() > 0) {
-                uses.put(server.life(), new PeerReport.Use(server.running(), server.promptTokens()));
+                uses.put(server.life(), new PeerReport.InstanceLoad(server.running(), server.promptTokens()));
             }
         }
-        long interval = ReportPace.intervalMillis(peers());
+        long interval = ReportSchedule.intervalMillis(peers());
         PeerReport report = new PeerReport(
                 name, 1, ++reports, name, true, 1, 0, 0, interval, uses, placement.demands(millis(fleet.now())));
         List<KeptParts> told = List.copyOf(kept);
@@ -224,7 +224,7 @@
 
     private void hear(PeerReport report, List<KeptParts> told) {
         long now = millis(fleet.now());
-        Map<String, PeerReport.Use> before = table.uses(report.name(), now);
+        Map<String, PeerReport.InstanceLoad> before = table.uses(report.name(), now);
         if (!table.hear(report, now)) {
             return;
         }
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/PeerStandin.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/PeerStandin.java
@@ -7,8 +7,8 @@
 import java.util.Collection;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.UnaryOperator;
-import org.tanagerhinge.core.relay.Registration;
 import org.tanagerhinge.core.relay.ServerDirectory;
+import org.tanagerhinge.core.relay.ServerRegistration;
 import org.tanagerhinge.standin.relay.RawServer;
 import org.tanagerhinge.wire.peer.PeerState;
 
@@ -24,7 +24,8 @@
     private volatile UnaryOperator<PeerState.Builder> more = state -> state;
     private volatile boolean closed;
 
-    private PeerStandin(InetSocketAddress to, Collection<Registration> servers, boolean silent) throws IOException {
+    private PeerStandin(InetSocketAddress to, Collection<ServerRegistration> servers, boolean silent)
+            throws IOException {
         this.to = to;
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(servers, 0);
@@ -42,7 +43,7 @@
      *
      * @param silent whether it takes connections and answers none, or takes none
      */
-    static PeerStandin telling(InetSocketAddress to, Collection<Registration> servers, boolean silent)
+    static PeerStandin telling(InetSocketAddress to, Collection<ServerRegistration> servers, boolean silent)
             throws IOException {
         return new PeerStandin(to, servers, silent);
     }
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayControlTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayControlTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.tanagerhinge.core.relay.Registration;
+import org.tanagerhinge.core.relay.ServerRegistration;
 import org.tanagerhinge.gateway.GatewayDaemon;
 import org.tanagerhinge.platform.PlatformNames;
 import org.tanagerhinge.standin.relay.ServerStandin;
@@ -216,7 +216,8 @@
     void whoHearsOfAVersionAndCannotAskForItAsksTheStore(boolean silent) throws Exception {
         ServerStandin server = scene.server("s-1", "plain", ServerStandin.plain(200, "x"));
         GatewayDaemon gateway = scene.gateway();
-        Registration registration = new Registration("s-1", 0, "plain", server.address(), "north", 8, false);
+        ServerRegistration registration =
+                new ServerRegistration("s-1", 0, "plain", server.address(), "north", 8, false);
         try (PeerStandin peer = PeerStandin.telling(scene.peerAddress(gateway), List.of(registration), silent)) {
             RelayScene.await(() -> gateway.metrics().text().contains("tanagerhinge_peers_present 1.0"));
             Thread.sleep(LONGEST_WATCH_MILLIS);
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayScene.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayScene.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import org.tanagerhinge.core.duty.DutyTerms;
-import org.tanagerhinge.core.relay.PromptAware;
+import org.tanagerhinge.core.relay.PromptAwarePlacement;
 import org.tanagerhinge.gateway.GatewayDaemon;
 import org.tanagerhinge.gateway.GatewayOptions;
 import org.tanagerhinge.platform.PlatformGateway;
@@ -76,7 +76,7 @@
                 Set.of());
         GatewayDaemon gateway = PlatformGateway.start(
                 options,
-                PromptAware.create(),
+                PromptAwarePlacement.create(),
                 new PlatformGateway.Addresses(storeAddress, Optional.of(duties.address())));
         gateways.add(gateway);
         peerAddresses.put(gateway, options.peers());
