--- a/agent/src/main/java/org/tanagerhinge/agent/AgentDaemon.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/AgentDaemon.java
@@ -129,12 +129,16 @@
     }
 
     private void gauges() {
-        metrics.gauge("queue_length", "Requests queued", () -> control.ask(core::queued));
+        metrics.gauge("queue_length", "Requests queued", () -> control.ask(core::queueLength));
         metrics.gauge("in_flight", "Requests at the backend server", () -> control.ask(core::inFlight));
         metrics.gauge(
-                "concurrency_limit", "Requests that may be at the backend server", () -> control.ask(core::limit));
+                "concurrency_limit",
+                "Requests that may be at the backend server",
+                () -> control.ask(core::concurrencyLimit));
         metrics.gauge(
-                "backend_healthy", "1 if the backend server answers", () -> control.ask(core::backendHealthy) ? 1 : 0);
+                "backend_healthy",
+                "1 if the backend server answers",
+                () -> control.ask(core::isBackendHealthy) ? 1 : 0);
         metrics.gauge("links", "Routers connected", () -> links.size());
         metrics.gauge(
                 "config_revision",
@@ -153,7 +157,7 @@
 
     /** Returns the configuration that the agent works by. */
     public ConfigRevision revision() {
-        return control.ask(core::revision);
+        return control.ask(core::configRevision);
     }
 
     /** Returns the number of requests at the backend server. */
@@ -182,7 +186,7 @@
 
     @Override
     public boolean drained() {
-        return control.ask(core::drained);
+        return control.ask(core::isDrained);
     }
 
     @Override
@@ -228,11 +232,11 @@
 
         @Override
         public void probe() {
-            backend.probe(answered -> control.post(() -> core.onProbed(answered)));
+            backend.probe(answered -> control.post(() -> core.onProbeResult(answered)));
         }
 
         @Override
-        public void pause(long runId, boolean paused) {
+        public void setPaused(long runId, boolean paused) {
             backend.pause(runId, paused);
         }
 
@@ -242,7 +246,7 @@
         }
 
         @Override
-        public void applied(ClusterConfig config) {
+        public void configApplied(ClusterConfig config) {
             LogLine.of(LogEvent.CONFIGURATION)
                     .with(LogField.CONFIG, config.revision().toString())
                     .write();
@@ -253,7 +257,7 @@
     private final class PostedEvents implements BackendEvents {
         @Override
         public void head(long runId, int status, String contentType) {
-            control.post(() -> core.onHead(runId, status, contentType));
+            control.post(() -> core.onResponseHead(runId, status, contentType));
         }
 
         @Override
@@ -263,7 +267,7 @@
 
         @Override
         public void finished(long runId, String finishReason) {
-            control.post(() -> core.onFinished(runId, finishReason));
+            control.post(() -> core.onCompleted(runId, finishReason));
         }
 
         @Override
@@ -279,7 +283,7 @@
             control.post(() -> {
                 RouterId router = idOf(link);
                 Link former = links.put(router, link);
-                core.onRouterUp(router);
+                core.onRouterConnected(router);
                 if (former != null) {
                     former.close();
                 }
@@ -306,7 +310,7 @@
             control.post(() -> {
                 RouterId router = idOf(link);
                 if (links.remove(router, link)) {
-                    core.onRouterDown(router);
+                    core.onRouterDisconnected(router);
                 }
             });
         }
--- a/agent/src/main/java/org/tanagerhinge/agent/AgentSettings.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/AgentSettings.java
@@ -73,7 +73,7 @@
     static AgentOptions options(Settings settings) {
         return AgentOptions.defaults()
                 .withQueue(settings.value(QUEUE_BOUND), (long) settings.value(QUEUE_MEGABYTES) << 20)
-                .withConcurrency(new AgentOptions.Concurrency.Adaptive(
+                .withConcurrency(new AgentOptions.ConcurrencyPolicy.Adaptive(
                         settings.value(CONCURRENCY_START), settings.value(CONCURRENCY_MOST)));
     }
 }
--- /dev/null
+++ b/core/src/main/java/org/tanagerhinge/core/agent/AdmissionQueue.java
@@ -0,0 +1,289 @@
+package org.tanagerhinge.core.agent;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeSet;
+import org.tanagerhinge.core.config.Profile;
+import org.tanagerhinge.core.id.ProfileName;
+import org.tanagerhinge.core.invariant.InvariantMonitor;
+import org.tanagerhinge.core.invariant.Promise;
+import org.tanagerhinge.core.result.ResultCode;
+
+/**
+ * The bounded queue of an agent.
+ *
+ * <p>Two promises meet here. <em>Shedding</em> looks at tiers only: whoever is evicted is never of a higher tier than
+ * whoever gains. <em>Dispatch</em> follows tiers too, but each class with work queued earns its guaranteed share of
+ * everything dispatched, and is served as soon as that pays for its next run. A class that is owed yields to a higher
+ * tier whose next run is about to miss its deadline, for {@link #MAX_YIELD} at a time at the most.
+ */
+final class AdmissionQueue {
+    static final Duration MAX_YIELD = Duration.ofSeconds(1);
+    /** A run past its target is only begun if an answer of several times its expected length fits its deadline. */
+    private static final int LATE_RUN_TIME_FACTOR = 3;
+
+    private static final Duration URGENT_TIME_LEFT = Duration.ofMillis(500);
+
+    /** What became of a run that was offered. */
+    sealed interface AdmissionResult {
+        /** The run is queued; those evicted have left the queue for it. */
+        record Admitted(List<Run> evicted) implements AdmissionResult {}
+
+        /** The run is not queued. */
+        record Rejected(ResultCode code, Duration retryAfter) implements AdmissionResult {}
+    }
+
+    private static final Comparator<Run> EVICTION_ORDER = Comparator.comparingInt(Run::tier)
+            .reversed()
+            .thenComparing(Comparator.comparing(Run::arrivedAt).reversed())
+            .thenComparing(Comparator.comparingLong(Run::id).reversed());
+
+    private final int maxRuns;
+    private final long maxBytes;
+    private final InvariantMonitor monitor;
+    private final Map<ProfileName, ServiceClassQueue> classes = new LinkedHashMap<>();
+    private final TreeSet<Run> evictionOrder = new TreeSet<>(EVICTION_ORDER);
+    private long queuedBytes;
+
+    AdmissionQueue(int maxRuns, long maxBytes, InvariantMonitor monitor) {
+        this.maxRuns = maxRuns;
+        this.maxBytes = maxBytes;
+        this.monitor = monitor;
+    }
+
+    int size() {
+        return evictionOrder.size();
+    }
+
+    boolean isEmpty() {
+        return evictionOrder.isEmpty();
+    }
+
+    /** Returns the queued cost of each tier, the first for tier 1. */
+    List<Long> costByTier() {
+        long[] costs = new long[Profile.LOWEST_TIER];
+        classes.values().forEach(serviceClass -> costs[serviceClass.terms().tier() - 1] += serviceClass.cost());
+        List<Long> result = new ArrayList<>(costs.length);
+        for (long cost : costs) {
+            result.add(cost);
+        }
+        return result;
+    }
+
+    /**
+     * Queues a run, or refuses it at once.
+     *
+     * @param throughput what is known of the backend server's pace, to refuse what cannot meet its deadline
+     */
+    AdmissionResult offer(Run run, Instant now, ThroughputEstimate throughput) {
+        ServiceClassQueue serviceClass = classes.computeIfAbsent(
+                run.work().profile(),
+                name -> new ServiceClassQueue(name, run.work().terms()));
+        serviceClass.terms(run.work().terms());
+        Duration wait = throughput.queueWait(costAhead(run), serviceClass.cost(), serviceClass.shareFraction());
+        if (wait.plus(throughput.runTime(run.cost())).compareTo(run.timeLeft(now)) > 0) {
+            return new AdmissionResult.Rejected(ResultCode.DEADLINE_UNREACHABLE, wait);
+        }
+        List<Run> evicted = new ArrayList<>();
+        if (serviceClass.size() >= run.work().terms().queueBound()) {
+            // A queue full of runs that are past their targets would turn away those that can still meet theirs.
+            Optional<Run> latest = serviceClass.lastLateRun();
+            if (latest.isEmpty()) {
+                return new AdmissionResult.Rejected(ResultCode.QUEUE_FULL, throughput.retryAfter(serviceClass.cost()));
+            }
+            remove(latest.get());
+            evicted.add(latest.get());
+        }
+        Optional<List<Run>> victims = selectVictims(run);
+        if (victims.isEmpty()) {
+            evicted.forEach(victim -> add(victim, serviceClass));
+            return new AdmissionResult.Rejected(ResultCode.QUEUE_FULL, throughput.retryAfter(serviceClass.cost()));
+        }
+        victims.get().forEach(this::remove);
+        evicted.addAll(victims.get());
+        add(run, serviceClass);
+        return new AdmissionResult.Admitted(evicted);
+    }
+
+    /** Returns whom to evict so that a run fits, nobody if it fits as it is, or empty if it cannot be made to fit. */
+    private Optional<List<Run>> selectVictims(Run run) {
+        List<Run> victims = new ArrayList<>();
+        int freeSlots = maxRuns - evictionOrder.size();
+        long freeBytes = maxBytes - queuedBytes;
+        for (Run candidate : evictionOrder) {
+            if (freeSlots >= 1 && freeBytes >= size(run)) {
+                break;
+            }
+            if (candidate.tier() <= run.tier()) {
+                break;
+            }
+            victims.add(candidate);
+            freeSlots++;
+            freeBytes += size(candidate);
+        }
+        boolean fits = freeSlots >= 1 && freeBytes >= size(run);
+        if (fits) {
+            victims.forEach(victim -> monitor.check(
+                    Promise.TIER_ORDER, victim.tier() > run.tier(), () -> victim + " was evicted for " + run));
+            return Optional.of(victims);
+        }
+        monitor.check(
+                Promise.TIER_ORDER,
+                evictionOrder.stream().allMatch(queued -> queued.tier() <= run.tier() || victims.contains(queued)),
+                () -> run + " was refused while " + evictionOrder.first() + " stayed queued");
+        return Optional.empty();
+    }
+
+    private void add(Run run, ServiceClassQueue serviceClass) {
+        if (serviceClass.isEmpty()) {
+            serviceClass.catchUpTo(minVirtualTime(run.tier()));
+        }
+        serviceClass.add(run);
+        evictionOrder.add(run);
+        queuedBytes += size(run);
+    }
+
+    private static long size(Run run) {
+        return run.work().call().body().length;
+    }
+
+    private double minVirtualTime(int tier) {
+        return classes.values().stream()
+                .filter(serviceClass ->
+                        !serviceClass.isEmpty() && serviceClass.terms().tier() == tier)
+                .mapToDouble(ServiceClassQueue::normalizedService)
+                .min()
+                .orElse(0);
+    }
+
+    private long costAhead(Run run) {
+        return costDownToTier(run.tier());
+    }
+
+    /** Returns the queued cost of a tier and all above it. */
+    private long costDownToTier(int tier) {
+        return classes.values().stream()
+                .filter(serviceClass -> serviceClass.terms().tier() <= tier)
+                .mapToLong(ServiceClassQueue::cost)
+                .sum();
+    }
+
+    /**
+     * Takes the run that is to be dispatched next.
+     *
+     * @param firstOutputLatency how long the first output takes from dispatch on
+     */
+    Optional<Run> takeNext(Instant now, Duration firstOutputLatency) {
+        if (isEmpty()) {
+            return Optional.empty();
+        }
+        classes.values().forEach(serviceClass -> serviceClass.demoteLate(now, firstOutputLatency));
+        ServiceClassQueue highest = highestClass();
+        ServiceClassQueue chosen =
+                owedClass().map(owed -> owedOrUrgent(owed, highest, now)).orElse(highest);
+        Run run = chosen.take();
+        release(run);
+        recordDispatch(chosen, run, now);
+        return Optional.of(run);
+    }
+
+    private ServiceClassQueue highestClass() {
+        return classes.values().stream()
+                .filter(serviceClass -> !serviceClass.isEmpty())
+                .min(Comparator.comparingInt((ServiceClassQueue serviceClass) ->
+                                serviceClass.terms().tier())
+                        .thenComparingDouble(ServiceClassQueue::normalizedService))
+                .orElseThrow();
+    }
+
+    /** Returns the class that has been passed over most often among those whose share pays for their next run. */
+    private Optional<ServiceClassQueue> owedClass() {
+        return classes.values().stream()
+                .filter(ServiceClassQueue::isOwed)
+                .max(Comparator.comparingInt(ServiceClassQueue::bypassCount)
+                        .thenComparing(serviceClass -> -serviceClass.terms().tier()));
+    }
+
+    private static ServiceClassQueue owedOrUrgent(ServiceClassQueue owed, ServiceClassQueue highest, Instant now) {
+        boolean urgent = highest.terms().tier() < owed.terms().tier()
+                && highest.peek().timeLeft(now).compareTo(URGENT_TIME_LEFT) < 0;
+        Instant yieldingSince = owed.yieldingSince();
+        boolean mayYield =
+                yieldingSince == null || Duration.between(yieldingSince, now).compareTo(MAX_YIELD) < 0;
+        return urgent && mayYield ? highest : owed;
+    }
+
+    private void recordDispatch(ServiceClassQueue chosen, Run run, Instant now) {
+        long cost = run.cost();
+        long backloggedClasses = 0;
+        for (ServiceClassQueue serviceClass : classes.values()) {
+            if (!serviceClass.isEmpty()) {
+                backloggedClasses++;
+                boolean wasOwed = serviceClass != chosen && serviceClass.isOwed();
+                serviceClass.accrueCredit(cost);
+                if (wasOwed) {
+                    serviceClass.recordBypass();
+                    serviceClass.startYielding(now);
+                }
+            }
+        }
+        chosen.recordDispatch(cost);
+        checkNoStarvation(now, backloggedClasses);
+    }
+
+    /** A class whose share pays for its next run is passed over at most once by each other class, but while it yields. */
+    private void checkNoStarvation(Instant now, long backloggedClasses) {
+        for (ServiceClassQueue serviceClass : classes.values()) {
+            Instant yieldingSince = serviceClass.yieldingSince();
+            boolean yielding = yieldingSince != null
+                    && Duration.between(yieldingSince, now).compareTo(MAX_YIELD) <= 0;
+            monitor.check(
+                    Promise.NO_STARVATION,
+                    yielding || serviceClass.bypassCount() <= Math.max(classes.size(), backloggedClasses) * 2,
+                    () -> "class " + serviceClass.name() + " was passed over " + serviceClass.bypassCount() + " times");
+        }
+    }
+
+    /** Takes a run out of the queue; returns whether it was queued. */
+    boolean remove(Run run) {
+        ServiceClassQueue serviceClass = classes.get(run.work().profile());
+        if (serviceClass == null || !serviceClass.remove(run)) {
+            return false;
+        }
+        release(run);
+        return true;
+    }
+
+    private void release(Run run) {
+        evictionOrder.remove(run);
+        queuedBytes -= size(run);
+    }
+
+    /** Takes out the runs that cannot meet their deadlines any more. */
+    List<Run> takeUnreachable(Instant now, ThroughputEstimate throughput) {
+        List<Run> unreachable = new ArrayList<>();
+        for (Run run : List.copyOf(evictionOrder)) {
+            ServiceClassQueue serviceClass = classes.get(run.work().profile());
+            Duration wait = throughput.queueWait(costDownToTier(run.tier() - 1), 0, serviceClass.shareFraction());
+            long cost = serviceClass.isLate(run) ? run.cost() * LATE_RUN_TIME_FACTOR : run.cost();
+            Duration needed = wait.plus(throughput.runTime(cost));
+            if (run.timeLeft(now).compareTo(needed) < 0 && remove(run)) {
+                unreachable.add(run);
+            }
+        }
+        return unreachable;
+    }
+
+    /** Takes out everything. */
+    List<Run> takeAll() {
+        List<Run> all = new ArrayList<>(evictionOrder);
+        all.forEach(this::remove);
+        return all;
+    }
+}
--- a/core/src/main/java/org/tanagerhinge/core/agent/AgentCore.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/AgentCore.java
@@ -32,42 +32,42 @@
     /** Stands in a run's output until it is addressed to the attempt of a subscriber. */
     private static final int NO_ATTEMPT = 0;
 
-    private final ServerId self;
+    private final ServerId serverId;
     private final long incarnation;
     private final AgentOptions options;
     private final InstantSource clock;
     private final AgentPort port;
     private final InvariantMonitor monitor;
-    private final ClassQueue queue;
-    private final ConcurrencyLimit limit;
-    private final RateMeter meter = new RateMeter();
+    private final AdmissionQueue queue;
+    private final ConcurrencyLimit concurrencyLimit;
+    private final ThroughputMeter throughputMeter = new ThroughputMeter();
     private final ExecutionTable executions;
-    private final Map<Long, Run> running = new HashMap<>();
+    private final Map<Long, Run> runsInFlight = new HashMap<>();
     private final RouterLinks links;
-    private final FlowControl flow;
+    private final FlowControl flowControl;
     private ClusterConfig config = ClusterConfig.EMPTY;
     private long nextRunId = 1;
     private boolean stopping;
     private final BackendHealth health = new BackendHealth();
 
     private AgentCore(
-            ServerId self,
+            ServerId serverId,
             long incarnation,
             AgentOptions options,
             InstantSource clock,
             AgentPort port,
             InvariantMonitor monitor) {
-        this.self = self;
+        this.serverId = serverId;
         this.incarnation = incarnation;
         this.options = options;
         this.clock = clock;
         this.port = port;
         this.monitor = monitor;
-        this.queue = new ClassQueue(options.queueBound(), options.queueBytes(), monitor);
-        this.limit = ConcurrencyLimit.of(options.concurrency());
+        this.queue = new AdmissionQueue(options.maxQueuedRequests(), options.maxQueuedBytes(), monitor);
+        this.concurrencyLimit = ConcurrencyLimit.of(options.concurrency());
         this.executions = new ExecutionTable(options, monitor);
         this.links = new RouterLinks(port, clock);
-        this.flow = new FlowControl(port, options.creditUnits());
+        this.flowControl = new FlowControl(port, options.creditWindowUnits());
     }
 
     /**
@@ -76,24 +76,24 @@
      * @param incarnation tells this run of the agent from earlier and later ones
      */
     public static AgentCore create(
-            ServerId self,
+            ServerId serverId,
             long incarnation,
             AgentOptions options,
             InstantSource clock,
             AgentPort port,
             InvariantMonitor monitor) {
-        return new AgentCore(self, incarnation, options, clock, port, monitor);
+        return new AgentCore(serverId, incarnation, options, clock, port, monitor);
     }
 
-    public ServerId self() {
-        return self;
+    public ServerId serverId() {
+        return serverId;
     }
 
     public long incarnation() {
         return incarnation;
     }
 
-    public ConfigRevision revision() {
+    public ConfigRevision configRevision() {
         return config.revision();
     }
 
@@ -101,35 +101,35 @@
         return config;
     }
 
-    public int queued() {
+    public int queueLength() {
         return queue.size();
     }
 
     public int inFlight() {
-        return running.size();
+        return runsInFlight.size();
     }
 
-    public int limit() {
-        return limit.limit();
+    public int concurrencyLimit() {
+        return concurrencyLimit.limit();
     }
 
     /** Returns the number of routers linked now. */
-    public int routers() {
+    public int routerCount() {
         return links.count();
     }
 
     /** Returns whether the agent was told to stop and nothing is left in its hands. */
-    public boolean drained() {
-        return stopping && running.isEmpty() && queue.isEmpty();
+    public boolean isDrained() {
+        return stopping && runsInFlight.isEmpty() && queue.isEmpty();
     }
 
     // ---- links
 
     /** A router has connected. */
-    public void onRouterUp(RouterId router) {
-        links.namesakes(router).forEach(this::onRouterDown);
+    public void onRouterConnected(RouterId router) {
+        links.withSameName(router).forEach(this::onRouterDisconnected);
         links.connect(router);
-        greet(router);
+        sendStatus(router);
     }
 
     /**
@@ -138,8 +138,8 @@
      * <p>Nobody can be given what it waited for. Queued runs leave, idempotent ones are aborted; a non-idempotent one
      * that has begun goes on, and its result is held for whoever asks with the same key.
      */
-    public void onRouterDown(RouterId router) {
-        if (!links.connected(router)) {
+    public void onRouterDisconnected(RouterId router) {
+        if (!links.isConnected(router)) {
             return;
         }
         for (Run run : links.disconnect(router)) {
@@ -147,7 +147,7 @@
             if (run.subscribers().isEmpty()) {
                 abandon(run);
             } else {
-                flow.adjust(run);
+                flowControl.update(run);
             }
         }
         dispatch();
@@ -155,11 +155,11 @@
 
     private void abandon(Run run) {
         if (queue.remove(run)) {
-            run.machine().fire(RunEvent.CANCEL);
+            run.stateMachine().fire(RunEvent.CANCEL);
             run.execution().ifPresent(execution -> executions.close(execution, now()));
-        } else if (run.machine().in(RunState.RUNNING)) {
+        } else if (run.stateMachine().in(RunState.RUNNING)) {
             if (run.execution().isPresent()) {
-                flow.resume(run);
+                flowControl.resume(run);
             } else {
                 abort(run, ResultCode.CALLER_GONE, "nobody waits for it");
             }
@@ -170,7 +170,7 @@
 
     /** A router has sent a message. */
     public void onFrame(RouterId router, Frame.FromRouter frame) {
-        if (!links.connected(router)) {
+        if (!links.isConnected(router)) {
             return;
         }
         switch (frame) {
@@ -195,74 +195,73 @@
             return;
         }
         if (submit.execution().isPresent()
-                && answeredFromRecord(
-                        router, submit.attempt(), submit.execution().get())) {
+                && replyFromRecord(router, submit.attempt(), submit.execution().get())) {
             return;
         }
-        if (!accepting()) {
-            ResultCode code = open() ? ResultCode.SERVER_DOWN : ResultCode.SERVER_LEAVING;
-            closeAndRefuse(router, submit, code, Duration.ZERO);
+        if (!isAccepting()) {
+            ResultCode code = isServing() ? ResultCode.SERVER_DOWN : ResultCode.SERVER_LEAVING;
+            closeAndReject(router, submit, code, Duration.ZERO);
             return;
         }
         Run run = new Run(nextRunId++, submit, now());
-        switch (queue.offer(run, now(), pace())) {
-            case ClassQueue.Offer.Refused refused ->
-                closeAndRefuse(router, submit, refused.code(), refused.retryAfter());
-            case ClassQueue.Offer.Queued queued -> {
-                queued.evicted().forEach(victim -> shed(victim, ResultCode.EVICTED));
+        switch (queue.offer(run, now(), throughputEstimate())) {
+            case AdmissionQueue.AdmissionResult.Rejected rejected ->
+                closeAndReject(router, submit, rejected.code(), rejected.retryAfter());
+            case AdmissionQueue.AdmissionResult.Admitted admitted -> {
+                admitted.evicted().forEach(victim -> shed(victim, ResultCode.EVICTED));
                 run.subscribers().add(new Subscriber(router, submit.attempt()));
                 links.attach(router, submit.attempt(), run);
-                run.execution().ifPresent(_ -> executions.queued(run, now()));
+                run.execution().ifPresent(_ -> executions.recordQueued(run, now()));
                 dispatch();
             }
         }
     }
 
-    private void closeAndRefuse(RouterId router, Frame.Submit submit, ResultCode code, Duration retryAfter) {
+    private void closeAndReject(RouterId router, Frame.Submit submit, ResultCode code, Duration retryAfter) {
         submit.execution().ifPresent(execution -> executions.close(execution, now()));
-        refuse(router, submit.attempt(), code, retryAfter);
+        reject(router, submit.attempt(), code, retryAfter);
     }
 
-    private void refuse(RouterId router, long attempt, ResultCode code, Duration retryAfter) {
+    private void reject(RouterId router, long attempt, ResultCode code, Duration retryAfter) {
         port.count("refused_" + code.label());
         send(router, new Frame.NotRun(attempt, code, retryAfter, load()));
     }
 
     /** Answers from what is remembered of an execution; returns false if it never came here. */
-    private boolean answeredFromRecord(RouterId router, long attempt, Execution execution) {
+    private boolean replyFromRecord(RouterId router, long attempt, Execution execution) {
         switch (executions.lookup(execution)) {
-            case ExecutionTable.Known.Never never -> {
+            case ExecutionTable.Status.Unseen unseen -> {
                 return false;
             }
-            case ExecutionTable.Known.Live live -> join(router, attempt, live.run());
-            case ExecutionTable.Known.Whole whole ->
-                whole.answer().forEach(frame -> send(router, readdress(frame, attempt)));
-            case ExecutionTable.Known.Lost lost ->
-                send(router, new Frame.Failed(attempt, lost.code(), lost.detail(), load()));
-            case ExecutionTable.Known.Closed closed -> refuse(router, attempt, ResultCode.EVICTED, Duration.ZERO);
+            case ExecutionTable.Status.Active active -> subscribe(router, attempt, active.run());
+            case ExecutionTable.Status.Completed completed ->
+                completed.answer().forEach(frame -> send(router, withAttempt(frame, attempt)));
+            case ExecutionTable.Status.ResultUnavailable unavailable ->
+                send(router, new Frame.Failed(attempt, unavailable.code(), unavailable.detail(), load()));
+            case ExecutionTable.Status.Closed closed -> reject(router, attempt, ResultCode.EVICTED, Duration.ZERO);
         }
         return true;
     }
 
-    private void join(RouterId router, long attempt, Run run) {
+    private void subscribe(RouterId router, long attempt, Run run) {
         Subscriber subscriber = new Subscriber(router, attempt);
         run.subscribers().add(subscriber);
         links.attach(router, attempt, run);
-        if (run.machine().in(RunState.RUNNING)) {
+        if (run.stateMachine().in(RunState.RUNNING)) {
             send(router, new Frame.Started(attempt));
         } else {
             send(router, new Frame.Queued(attempt));
         }
         for (Frame.FromAgent frame : executions.outputSoFar(run)) {
             if (frame instanceof Frame.Chunk chunk) {
-                subscriber.sent(chunk.units());
+                subscriber.recordSent(chunk.units());
             }
-            send(router, readdress(frame, attempt));
+            send(router, withAttempt(frame, attempt));
         }
-        flow.adjust(run);
+        flowControl.update(run);
     }
 
-    private Frame.FromAgent readdress(Frame.FromAgent frame, long attempt) {
+    private Frame.FromAgent withAttempt(Frame.FromAgent frame, long attempt) {
         return switch (frame) {
             case Frame.Head head -> new Frame.Head(attempt, head.status(), head.contentType());
             case Frame.Chunk chunk -> new Frame.Chunk(attempt, chunk.offset(), chunk.units(), chunk.data());
@@ -286,10 +285,10 @@
                             load()));
             return;
         }
-        if (answeredFromRecord(router, attach.attempt(), attach.execution())) {
+        if (replyFromRecord(router, attach.attempt(), attach.execution())) {
             return;
         }
-        if (executions.full()) {
+        if (executions.isFull()) {
             send(
                     router,
                     new Frame.Failed(
@@ -297,7 +296,7 @@
             return;
         }
         executions.close(attach.execution(), now());
-        refuse(router, attach.attempt(), ResultCode.EVICTED, Duration.ZERO);
+        reject(router, attach.attempt(), ResultCode.EVICTED, Duration.ZERO);
     }
 
     private void onCancel(RouterId router, long attempt, boolean runOn) {
@@ -308,17 +307,17 @@
         Run run = found.get();
         run.subscribers().removeIf(subscriber -> subscriber.router().equals(router) && subscriber.attempt() == attempt);
         if (run.subscribers().isEmpty() && runOn && run.execution().isPresent()) {
-            flow.resume(run);
+            flowControl.resume(run);
         } else if (run.subscribers().isEmpty()) {
-            if (run.machine().in(RunState.RUNNING)) {
+            if (run.stateMachine().in(RunState.RUNNING)) {
                 abort(run, ResultCode.CALLER_GONE, "its caller hung up");
             } else {
                 abandon(run);
-                refuse(router, attempt, ResultCode.CALLER_GONE, Duration.ZERO);
+                reject(router, attempt, ResultCode.CALLER_GONE, Duration.ZERO);
             }
             dispatch();
         } else {
-            flow.adjust(run);
+            flowControl.update(run);
         }
     }
 
@@ -330,17 +329,17 @@
         Run run = found.get();
         for (Subscriber subscriber : run.subscribers()) {
             if (subscriber.router().equals(router) && subscriber.attempt() == credit.attempt()) {
-                subscriber.credited(credit.units());
+                subscriber.recordCredit(credit.units());
             }
         }
-        flow.adjust(run);
+        flowControl.update(run);
     }
 
     // ---- the backend server
 
     /** The backend server has answered a plain call's head. */
-    public void onHead(long runId, int status, String contentType) {
-        Run run = running.get(runId);
+    public void onResponseHead(long runId, int status, String contentType) {
+        Run run = runsInFlight.get(runId);
         if (run != null) {
             emit(run, new Frame.Head(NO_ATTEMPT, status, contentType));
         }
@@ -348,100 +347,100 @@
 
     /** The backend server has produced a piece of an answer. */
     public void onOutput(long runId, long units, byte[] data) {
-        Run run = running.get(runId);
+        Run run = runsInFlight.get(runId);
         if (run == null) {
             return;
         }
-        health.answered();
+        health.recordOutput();
         long offset = run.producedUnits();
         if (!run.isService()) {
-            meter.produced(units);
-            limit.produced(units);
+            throughputMeter.recordOutput(units);
+            concurrencyLimit.recordOutput(units);
         }
-        if (!run.streaming()) {
-            meter.firstOutput(Duration.between(run.dispatched(), now()));
+        if (!run.hasOutput()) {
+            throughputMeter.recordFirstOutput(Duration.between(run.dispatchedAt(), now()));
         }
-        run.progress(units, now()).ifPresent(gap -> {
+        run.recordOutput(units, now()).ifPresent(gap -> {
             if (!run.isService() && !run.paused()) {
-                limit.gap(gap.dividedBy(Math.max(1, units)));
-                meter.gap(gap, units);
+                concurrencyLimit.recordGap(gap.dividedBy(Math.max(1, units)));
+                throughputMeter.recordGap(gap, units);
             }
         });
         emit(run, new Frame.Chunk(NO_ATTEMPT, offset, units, data));
-        flow.adjust(run);
+        flowControl.update(run);
     }
 
     /** The backend server has ended an answer as a whole one. */
-    public void onFinished(long runId, String finishReason) {
-        Run run = running.remove(runId);
+    public void onCompleted(long runId, String finishReason) {
+        Run run = runsInFlight.remove(runId);
         if (run == null) {
             return;
         }
         if (run.isService()) {
-            meter.produced(1);
-            limit.produced(1);
-            meter.gap(Duration.between(run.dispatched(), now()), 1);
+            throughputMeter.recordOutput(1);
+            concurrencyLimit.recordOutput(1);
+            throughputMeter.recordGap(Duration.between(run.dispatchedAt(), now()), 1);
         }
-        run.machine().fire(RunEvent.FINISH);
+        run.stateMachine().fire(RunEvent.FINISH);
         Frame.Done done = new Frame.Done(NO_ATTEMPT, run.producedUnits(), finishReason, load());
-        run.subscribers().forEach(subscriber -> send(subscriber.router(), readdress(done, subscriber.attempt())));
-        run.execution().ifPresent(_ -> executions.whole(run, done));
-        links.forget(run);
+        run.subscribers().forEach(subscriber -> send(subscriber.router(), withAttempt(done, subscriber.attempt())));
+        run.execution().ifPresent(_ -> executions.recordCompletion(run, done));
+        links.detachAll(run);
         dispatch();
     }
 
     /**
      * The backend server has failed a run.
      *
-     * @param began false if it provably never got the request
+     * @param reachedBackend false if it provably never got the request
      */
-    public void onFailed(long runId, boolean began, ResultCode code, String detail) {
-        Run run = running.remove(runId);
+    public void onFailed(long runId, boolean reachedBackend, ResultCode code, String detail) {
+        Run run = runsInFlight.remove(runId);
         if (run == null) {
             return;
         }
-        run.machine().fire(RunEvent.FAIL);
-        boolean justDown = health.failed(began);
-        if (began) {
+        run.stateMachine().fire(RunEvent.FAIL);
+        boolean wentDown = health.recordFailure(reachedBackend);
+        if (reachedBackend) {
             fail(run, code, detail);
         } else {
             run.execution().ifPresent(execution -> executions.close(execution, now()));
             run.subscribers()
-                    .forEach(subscriber -> refuse(subscriber.router(), subscriber.attempt(), code, Duration.ZERO));
-            links.forget(run);
+                    .forEach(subscriber -> reject(subscriber.router(), subscriber.attempt(), code, Duration.ZERO));
+            links.detachAll(run);
         }
-        if (justDown) {
-            noteDown();
+        if (wentDown) {
+            handleBackendDown();
         }
         dispatch();
     }
 
-    private void noteDown() {
+    private void handleBackendDown() {
         port.count("backend_down");
-        giveBackQueue(ResultCode.SERVER_DOWN);
-        reportLoad();
+        rejectQueuedRuns(ResultCode.SERVER_DOWN);
+        broadcastLoad();
     }
 
     /** The backend server was probed. */
-    public void onProbed(boolean answered) {
-        switch (health.probed(answered)) {
-            case NOTHING -> {}
+    public void onProbeResult(boolean answered) {
+        switch (health.recordProbe(answered)) {
+            case UNCHANGED -> {}
             case UP -> {
                 port.count("backend_up");
-                reportLoad();
+                broadcastLoad();
             }
-            case DOWN -> noteDown();
+            case DOWN -> handleBackendDown();
         }
     }
 
-    private void reportLoad() {
+    private void broadcastLoad() {
         links.routers().forEach(router -> send(router, new Frame.LoadReport(load())));
     }
 
     private void abort(Run run, ResultCode code, String detail) {
-        running.remove(run.id());
+        runsInFlight.remove(run.id());
         port.abort(run.id());
-        run.machine().fire(RunEvent.CANCEL);
+        run.stateMachine().fire(RunEvent.CANCEL);
         monitor.check(
                 Promise.GRACEFUL_STOP,
                 !stopping || code != ResultCode.ROUTER_STOPPING,
@@ -451,28 +450,28 @@
 
     private void fail(Run run, ResultCode code, String detail) {
         port.count("failed_" + code.label());
-        run.execution().ifPresent(_ -> executions.lost(run, code, detail));
+        run.execution().ifPresent(_ -> executions.recordFailure(run, code, detail));
         run.subscribers()
                 .forEach(subscriber ->
                         send(subscriber.router(), new Frame.Failed(subscriber.attempt(), code, detail, load())));
-        links.forget(run);
+        links.detachAll(run);
     }
 
     private void emit(Run run, Frame.FromAgent frame) {
-        run.execution().ifPresent(_ -> executions.output(run, frame));
+        run.execution().ifPresent(_ -> executions.recordOutput(run, frame));
         for (Subscriber subscriber : run.subscribers()) {
             if (frame instanceof Frame.Chunk chunk) {
-                subscriber.sent(chunk.units());
+                subscriber.recordSent(chunk.units());
             }
-            send(subscriber.router(), readdress(frame, subscriber.attempt()));
+            send(subscriber.router(), withAttempt(frame, subscriber.attempt()));
         }
     }
 
     // ---- order and limits
 
     private void dispatch() {
-        while (running.size() < limit.limit()) {
-            Optional<Run> next = queue.next(now(), meter.untilOutput());
+        while (runsInFlight.size() < concurrencyLimit.limit()) {
+            Optional<Run> next = queue.takeNext(now(), throughputMeter.firstOutputLatencyBound());
             if (next.isEmpty()) {
                 return;
             }
@@ -485,59 +484,61 @@
             shed(run, ResultCode.EXPIRED_IN_QUEUE);
             return;
         }
-        monitor.check(Promise.LEAVING_IS_QUIET, open(), () -> run + " was dispatched by a leaving agent");
-        run.machine().fire(RunEvent.DISPATCH);
+        monitor.check(Promise.LEAVING_IS_QUIET, isServing(), () -> run + " was dispatched by a leaving agent");
+        run.stateMachine().fire(RunEvent.DISPATCH);
         run.markDispatched(now());
-        running.put(run.id(), run);
-        run.execution().ifPresent(_ -> executions.begins(run));
+        runsInFlight.put(run.id(), run);
+        run.execution().ifPresent(_ -> executions.recordStart(run));
         run.subscribers().forEach(subscriber -> send(subscriber.router(), new Frame.Started(subscriber.attempt())));
         port.start(run);
     }
 
     /** Gives a run that has left the queue back as not run. */
     private void shed(Run run, ResultCode code) {
-        run.machine().fire(RunEvent.SHED);
+        run.stateMachine().fire(RunEvent.SHED);
         run.execution().ifPresent(execution -> executions.close(execution, now()));
-        Duration retryAfter = pace().drainTime(run.cost());
-        run.subscribers().forEach(subscriber -> refuse(subscriber.router(), subscriber.attempt(), code, retryAfter));
-        links.forget(run);
+        Duration retryAfter = throughputEstimate().retryAfter(run.cost());
+        run.subscribers().forEach(subscriber -> reject(subscriber.router(), subscriber.attempt(), code, retryAfter));
+        links.detachAll(run);
     }
 
-    private Pace pace() {
-        boolean known = !running.isEmpty() && options.concurrency() instanceof AgentOptions.Concurrency.Adaptive;
-        if (!known) {
+    private ThroughputEstimate throughputEstimate() {
+        boolean measured =
+                !runsInFlight.isEmpty() && options.concurrency() instanceof AgentOptions.ConcurrencyPolicy.Adaptive;
+        if (!measured) {
             // An idle server takes anything: were stale rates believed, nothing would ever measure it anew.
-            return new Pace(0, 0, 1);
+            return new ThroughputEstimate(0, 0, 1);
         }
-        int free = limit.limit() - running.size() - queue.size();
-        return new Pace(meter.unitsPerSecond(), meter.streamUnitsPerSecond(), free);
+        int freeSlots = concurrencyLimit.limit() - runsInFlight.size() - queue.size();
+        return new ThroughputEstimate(
+                throughputMeter.unitsPerSecond(), throughputMeter.streamUnitsPerSecond(), freeSlots);
     }
 
     private Load load() {
         long runningUnits =
-                running.values().stream().mapToLong(Run::remainingCost).sum();
+                runsInFlight.values().stream().mapToLong(Run::remainingCost).sum();
         return new Load(
-                running.size(),
-                limit.limit(),
+                runsInFlight.size(),
+                concurrencyLimit.limit(),
                 queue.costByTier(),
                 runningUnits,
-                meter.unitsPerSecond(),
-                meter.streamUnitsPerSecond(),
+                throughputMeter.unitsPerSecond(),
+                throughputMeter.streamUnitsPerSecond(),
                 queue.size(),
-                accepting());
+                isAccepting());
     }
 
-    private boolean accepting() {
-        return open() && !health.down();
+    private boolean isAccepting() {
+        return isServing() && !health.isDown();
     }
 
     /** Returns whether operators want the server to take work. */
-    private boolean open() {
-        return !stopping && mark() == ServerMark.SERVING;
+    private boolean isServing() {
+        return !stopping && desiredState() == ServerMark.SERVING;
     }
 
-    private ServerMark mark() {
-        return config.servers().server(self).map(BackendServer::mark).orElse(ServerMark.SERVING);
+    private ServerMark desiredState() {
+        return config.servers().server(serverId).map(BackendServer::mark).orElse(ServerMark.SERVING);
     }
 
     // ---- configuration, time, stop
@@ -545,37 +546,37 @@
     /** A configuration was offered, by the platform's service or a peer; older documents are ignored. */
     public void applyConfig(ClusterConfig offered) {
         ClusterConfig merged = config.merge(offered);
-        ConfigRevision before = config.revision();
-        if (!before.behind(merged.revision())) {
+        ConfigRevision oldRevision = config.revision();
+        if (!oldRevision.behind(merged.revision())) {
             return;
         }
         monitor.check(
                 Promise.CONFIG_FORWARD,
-                !merged.revision().behind(before),
-                () -> "revision went from " + before + " to " + merged.revision());
-        boolean wasAccepting = accepting();
+                !merged.revision().behind(oldRevision),
+                () -> "revision went from " + oldRevision + " to " + merged.revision());
+        boolean wasAccepting = isAccepting();
         config = merged;
-        limit.gapBound(gapBound());
-        port.applied(config);
-        if (wasAccepting && !accepting()) {
-            giveBackQueue(ResultCode.SERVER_LEAVING);
+        concurrencyLimit.maxMeanGap(minInterTokenTarget());
+        port.configApplied(config);
+        if (wasAccepting && !isAccepting()) {
+            rejectQueuedRuns(ResultCode.SERVER_LEAVING);
         }
-        if (wasAccepting != accepting()) {
-            reportLoad();
+        if (wasAccepting != isAccepting()) {
+            broadcastLoad();
         }
-        Frame.Heartbeat news = new Frame.Heartbeat(config.revision());
-        links.routers().forEach(router -> send(router, news));
+        Frame.Heartbeat heartbeat = new Frame.Heartbeat(config.revision());
+        links.routers().forEach(router -> send(router, heartbeat));
     }
 
-    private Duration gapBound() {
+    private Duration minInterTokenTarget() {
         return config.profiles().profiles().stream()
                 .map(Profile::betweenTokensTarget)
-                .filter(bound -> !bound.isZero())
+                .filter(target -> !target.isZero())
                 .min(Duration::compareTo)
                 .orElse(Duration.ZERO);
     }
 
-    private void giveBackQueue(ResultCode code) {
+    private void rejectQueuedRuns(ResultCode code) {
         queue.takeAll().forEach(run -> shed(run, code));
     }
 
@@ -585,40 +586,40 @@
             return;
         }
         stopping = true;
-        giveBackQueue(ResultCode.SERVER_LEAVING);
-        reportLoad();
+        rejectQueuedRuns(ResultCode.SERVER_LEAVING);
+        broadcastLoad();
     }
 
     /** Time has passed; called several times a second. */
     public void onTick() {
         Instant now = now();
-        boolean full = running.size() >= limit.limit();
-        meter.tick(now, full);
-        limit.tick(now, full && !queue.isEmpty());
-        queue.takeHopeless(now, pace()).forEach(run -> {
+        boolean saturated = runsInFlight.size() >= concurrencyLimit.limit();
+        throughputMeter.tick(now, saturated);
+        concurrencyLimit.tick(now, saturated && !queue.isEmpty());
+        queue.takeUnreachable(now, throughputEstimate()).forEach(run -> {
             boolean expired = run.timeLeft(now).isNegative();
             shed(run, expired ? ResultCode.EXPIRED_IN_QUEUE : ResultCode.DEADLINE_UNREACHABLE);
         });
         abortOverdue(now);
-        if (health.probeDue(now)) {
+        if (health.startProbeIfDue(now)) {
             port.probe();
         }
-        executions.trim(now);
-        links.untold(options.heartbeat()).forEach(this::greet);
+        executions.evict(now);
+        links.loadReportDue(options.heartbeatInterval()).forEach(this::sendStatus);
         dispatch();
     }
 
     private void abortOverdue(Instant now) {
         List<Run> overdue = new ArrayList<>();
-        for (Run run : running.values()) {
-            if (run.deadline().plus(options.overdueGrace()).isBefore(now)) {
+        for (Run run : runsInFlight.values()) {
+            if (run.deadline().plus(options.deadlineGrace()).isBefore(now)) {
                 overdue.add(run);
             }
         }
         overdue.forEach(run -> abort(run, ResultCode.ANSWER_TOO_LATE, "its deadline has passed"));
     }
 
-    private void greet(RouterId router) {
+    private void sendStatus(RouterId router) {
         send(router, new Frame.Heartbeat(config.revision()));
         send(router, new Frame.LoadReport(load()));
     }
@@ -632,7 +633,7 @@
     }
 
     /** Returns whether the backend server is taken for able to work. */
-    public boolean backendHealthy() {
-        return !health.down();
+    public boolean isBackendHealthy() {
+        return !health.isDown();
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/agent/AgentPort.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/AgentPort.java
@@ -15,15 +15,15 @@
     /** Ends a run at the backend server; events of the run that are still on their way are ignored. */
     void abort(long runId);
 
-    /** Asks the backend server for a sign of life; the answer comes back as {@link AgentCore#onProbed}. */
+    /** Asks the backend server for a sign of life; the answer comes back as {@link AgentCore#onProbeResult}. */
     void probe();
 
     /** Stops, or goes on, reading a run's output from the backend server. */
-    void pause(long runId, boolean paused);
+    void setPaused(long runId, boolean paused);
 
     /** Counts a refusal, shed or failure by its reason. */
     void count(String reason);
 
     /** Tells that a newer configuration was applied. */
-    void applied(ClusterConfig config);
+    void configApplied(ClusterConfig config);
 }
--- a/core/src/main/java/org/tanagerhinge/core/agent/BackendHealth.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/BackendHealth.java
@@ -15,23 +15,23 @@
 final class BackendHealth {
     private static final StateChart<BackendState, BackendEvent> CHART =
             StateChart.load("backend", BackendState.class, BackendEvent.class);
-    private static final Duration PROBE_EVERY = Duration.ofMillis(250);
+    private static final Duration PROBE_INTERVAL = Duration.ofMillis(250);
     /** A single failed run may be the run's fault; a second one without any output in between is the server's. */
-    private static final int MOST_FAILURES = 2;
+    private static final int MAX_CONSECUTIVE_FAILURES = 2;
 
-    private final Machine<BackendState, BackendEvent> machine = CHART.start();
-    private int failures;
-    private Instant lastProbe = Instant.MIN;
-    private boolean inDoubt;
+    private final Machine<BackendState, BackendEvent> stateMachine = CHART.start();
+    private int consecutiveFailures;
+    private Instant lastProbeAt = Instant.MIN;
+    private boolean suspect;
 
-    boolean down() {
-        return machine.in(BackendState.DOWN);
+    boolean isDown() {
+        return stateMachine.in(BackendState.DOWN);
     }
 
     /** Notes output of any run. */
-    void answered() {
-        failures = 0;
-        inDoubt = false;
+    void recordOutput() {
+        consecutiveFailures = 0;
+        suspect = false;
     }
 
     /**
@@ -39,41 +39,41 @@
      *
      * @param reached false if not even a connection was made
      */
-    boolean failed(boolean reached) {
-        failures++;
-        inDoubt = true;
-        boolean before = down();
-        if (!reached || failures >= MOST_FAILURES) {
-            machine.fire(BackendEvent.FAIL);
+    boolean recordFailure(boolean reached) {
+        consecutiveFailures++;
+        suspect = true;
+        boolean wasDown = isDown();
+        if (!reached || consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
+            stateMachine.fire(BackendEvent.FAIL);
         }
-        return !before && down();
+        return !wasDown && isDown();
     }
 
     /** Returns whether a probe should be sent now: to a server that is down, and to one that has just failed a run. */
-    boolean probeDue(Instant now) {
-        boolean due = (down() || inDoubt)
-                && (lastProbe.equals(Instant.MIN)
-                        || !lastProbe.plus(PROBE_EVERY).isAfter(now));
+    boolean startProbeIfDue(Instant now) {
+        boolean due = (isDown() || suspect)
+                && (lastProbeAt.equals(Instant.MIN)
+                        || !lastProbeAt.plus(PROBE_INTERVAL).isAfter(now));
         if (due) {
-            lastProbe = now;
+            lastProbeAt = now;
         }
         return due;
     }
 
     /** Notes the answer to a probe; returns what it changed. */
-    Probed probed(boolean answered) {
-        inDoubt = false;
-        if (answered == !down()) {
-            return Probed.NOTHING;
+    ProbeEffect recordProbe(boolean answered) {
+        suspect = false;
+        if (answered == !isDown()) {
+            return ProbeEffect.UNCHANGED;
         }
-        failures = 0;
-        machine.fire(answered ? BackendEvent.ANSWER : BackendEvent.FAIL);
-        return answered ? Probed.UP : Probed.DOWN;
+        consecutiveFailures = 0;
+        stateMachine.fire(answered ? BackendEvent.ANSWER : BackendEvent.FAIL);
+        return answered ? ProbeEffect.UP : ProbeEffect.DOWN;
     }
 
     /** What a probe changed. */
-    enum Probed {
-        NOTHING,
+    enum ProbeEffect {
+        UNCHANGED,
         UP,
         DOWN
     }
--- a/core/src/main/java/org/tanagerhinge/core/agent/ConcurrencyLimit.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/ConcurrencyLimit.java
@@ -10,7 +10,7 @@
  *
  * <p>Work handed to an engine cannot be taken back or put in another order, so no more is handed over than the engine
  * needs to run at a good rate. A batch beyond the knee of the engine's rate curve adds little rate and makes every
- * stream slower; the knee is where the rate grows by less than {@link Adaptive#LEAST_ELASTICITY} percent for one
+ * stream slower; the knee is where the rate grows by less than {@link Adaptive#MIN_ELASTICITY} percent for one
  * percent more requests. It is found by measuring, since it differs by engine, model and mix.
  */
 sealed interface ConcurrencyLimit {
@@ -18,10 +18,10 @@
     int limit();
 
     /** Notes units produced by the backend server. */
-    void produced(long units);
+    void recordOutput(long units);
 
     /** Notes the time between two pieces of output of one stream. */
-    void gap(Duration gap);
+    void recordGap(Duration gap);
 
     /**
      * Ends a measuring window if it is due.
@@ -32,13 +32,14 @@
     void tick(Instant now, boolean saturated);
 
     /** Sets the mean time between tokens that must not be exceeded; zero for none. */
-    void gapBound(Duration bound);
+    void maxMeanGap(Duration maxMeanGap);
 
     /** Returns a limit of the kind that options ask for. */
-    static ConcurrencyLimit of(AgentOptions.Concurrency kind) {
-        return switch (kind) {
-            case AgentOptions.Concurrency.Adaptive adaptive -> new Adaptive(adaptive.start(), adaptive.most());
-            case AgentOptions.Concurrency.Unbounded any -> new Unbounded();
+    static ConcurrencyLimit of(AgentOptions.ConcurrencyPolicy policy) {
+        return switch (policy) {
+            case AgentOptions.ConcurrencyPolicy.Adaptive adaptive ->
+                new Adaptive(adaptive.initialLimit(), adaptive.maxLimit());
+            case AgentOptions.ConcurrencyPolicy.Unbounded unbounded -> new Unbounded();
         };
     }
 
@@ -50,48 +51,48 @@
         }
 
         @Override
-        public void produced(long units) {}
+        public void recordOutput(long units) {}
 
         @Override
-        public void gap(Duration gap) {}
+        public void recordGap(Duration gap) {}
 
         @Override
         public void tick(Instant now, boolean saturated) {}
 
         @Override
-        public void gapBound(Duration bound) {}
+        public void maxMeanGap(Duration maxMeanGap) {}
     }
 
     /** Climbs the measured rate curve to its knee and follows it when it moves. */
     final class Adaptive implements ConcurrencyLimit {
-        static final double LEAST_ELASTICITY = 0.3;
+        static final double MIN_ELASTICITY = 0.3;
         private static final Duration WINDOW = Duration.ofMillis(500);
-        private static final Duration MEMORY = Duration.ofSeconds(45);
-        private static final double REFERENCE = 0.75;
-        private static final double SMOOTHING = 0.5;
+        private static final Duration SAMPLE_TTL = Duration.ofSeconds(45);
+        private static final double REFERENCE_RATIO = 0.75;
+        private static final double RATE_SMOOTHING = 0.5;
         private static final int GROWTH_DIVISOR = 8;
-        private static final int FIRST_GROWTH_DIVISOR = 2;
-        private static final double CUT = 0.85;
+        private static final int INITIAL_GROWTH_DIVISOR = 2;
+        private static final double DECREASE_FACTOR = 0.85;
         private static final double GAP_MARGIN = 0.9;
-        private static final int LEAST_GAPS = 8;
+        private static final int MIN_GAP_SAMPLES = 8;
 
         /** A measured rate at one limit. */
-        private record Point(double rate, Instant at) {}
+        private record RateSample(double unitsPerSecond, Instant measuredAt) {}
 
-        private final int most;
-        private final TreeMap<Integer, Point> curve = new TreeMap<>();
+        private final int maxLimit;
+        private final TreeMap<Integer, RateSample> rateByLimit = new TreeMap<>();
         private int limit;
-        private boolean kneeSeen;
-        private Duration gapBound = Duration.ZERO;
+        private boolean kneeFound;
+        private Duration maxMeanGap = Duration.ZERO;
         private Instant windowStart = Instant.MIN;
         private boolean windowSaturated = true;
         private long windowUnits;
-        private long gaps;
-        private long gapNanos;
+        private long gapCount;
+        private long totalGapNanos;
 
-        Adaptive(int start, int most) {
-            this.limit = start;
-            this.most = most;
+        Adaptive(int initialLimit, int maxLimit) {
+            this.limit = initialLimit;
+            this.maxLimit = maxLimit;
         }
 
         @Override
@@ -100,19 +101,19 @@
         }
 
         @Override
-        public void produced(long units) {
+        public void recordOutput(long units) {
             windowUnits += units;
         }
 
         @Override
-        public void gap(Duration gap) {
-            gaps++;
-            gapNanos += gap.toNanos();
+        public void recordGap(Duration gap) {
+            gapCount++;
+            totalGapNanos += gap.toNanos();
         }
 
         @Override
-        public void gapBound(Duration bound) {
-            gapBound = bound;
+        public void maxMeanGap(Duration maxMeanGap) {
+            maxMeanGap = maxMeanGap;
         }
 
         @Override
@@ -126,46 +127,52 @@
             if (length.compareTo(WINDOW) < 0) {
                 return;
             }
-            if (tooSlow()) {
-                kneeSeen = true;
-                limit = Math.max(1, (int) (limit * CUT));
+            if (gapExceeded()) {
+                kneeFound = true;
+                limit = Math.max(1, (int) (limit * DECREASE_FACTOR));
             } else if (windowSaturated) {
-                measure(windowUnits / (length.toNanos() / 1e9), now);
-                step();
+                recordRate(windowUnits / (length.toNanos() / 1e9), now);
+                adjustLimit();
             }
             startWindow(now);
         }
 
-        private boolean tooSlow() {
-            return !gapBound.isZero() && gaps >= LEAST_GAPS && gapNanos / gaps > gapBound.toNanos() * GAP_MARGIN;
+        private boolean gapExceeded() {
+            return !maxMeanGap.isZero()
+                    && gapCount >= MIN_GAP_SAMPLES
+                    && totalGapNanos / gapCount > maxMeanGap.toNanos() * GAP_MARGIN;
         }
 
-        private void measure(double rate, Instant now) {
-            curve.values().removeIf(point -> point.at().plus(MEMORY).isBefore(now));
-            Point before = curve.get(limit);
-            double smoothed = before == null ? rate : before.rate() * (1 - SMOOTHING) + rate * SMOOTHING;
-            curve.put(limit, new Point(smoothed, now));
+        private void recordRate(double unitsPerSecond, Instant now) {
+            rateByLimit
+                    .values()
+                    .removeIf(sample -> sample.measuredAt().plus(SAMPLE_TTL).isBefore(now));
+            RateSample previous = rateByLimit.get(limit);
+            double smoothed = previous == null
+                    ? unitsPerSecond
+                    : previous.unitsPerSecond() * (1 - RATE_SMOOTHING) + unitsPerSecond * RATE_SMOOTHING;
+            rateByLimit.put(limit, new RateSample(smoothed, now));
         }
 
-        private void step() {
-            Map.Entry<Integer, Point> reference = curve.floorEntry((int) (limit * REFERENCE));
-            boolean forgotten = reference == null && kneeSeen && curve.higherKey(limit) == null;
-            if (forgotten) {
+        private void adjustLimit() {
+            Map.Entry<Integer, RateSample> reference = rateByLimit.floorEntry((int) (limit * REFERENCE_RATIO));
+            boolean referenceExpired = reference == null && kneeFound && rateByLimit.higherKey(limit) == null;
+            if (referenceExpired) {
                 // Nothing is known any more of smaller limits: look at one, or the limit would only ever grow.
-                limit = Math.max(1, (int) (limit * REFERENCE));
-            } else if (reference != null && elasticity(reference) < LEAST_ELASTICITY) {
-                kneeSeen = true;
-                limit = Math.max(1, (int) (limit * CUT));
+                limit = Math.max(1, (int) (limit * REFERENCE_RATIO));
+            } else if (reference != null && elasticity(reference) < MIN_ELASTICITY) {
+                kneeFound = true;
+                limit = Math.max(1, (int) (limit * DECREASE_FACTOR));
             } else {
                 // Until the knee was met once the limit opens fast, or the first burst waits for it.
-                int divisor = kneeSeen ? GROWTH_DIVISOR : FIRST_GROWTH_DIVISOR;
-                limit = Math.min(most, limit + Math.max(1, limit / divisor));
+                int divisor = kneeFound ? GROWTH_DIVISOR : INITIAL_GROWTH_DIVISOR;
+                limit = Math.min(maxLimit, limit + Math.max(1, limit / divisor));
             }
         }
 
-        private double elasticity(Map.Entry<Integer, Point> reference) {
-            double rateRatio = curve.get(limit).rate()
-                    / Math.max(1e-9, reference.getValue().rate());
+        private double elasticity(Map.Entry<Integer, RateSample> reference) {
+            double rateRatio = rateByLimit.get(limit).unitsPerSecond()
+                    / Math.max(1e-9, reference.getValue().unitsPerSecond());
             double limitRatio = (double) limit / reference.getKey();
             return Math.log(Math.max(1e-9, rateRatio)) / Math.log(limitRatio);
         }
@@ -174,8 +181,8 @@
             windowStart = now;
             windowSaturated = true;
             windowUnits = 0;
-            gaps = 0;
-            gapNanos = 0;
+            gapCount = 0;
+            totalGapNanos = 0;
         }
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/agent/ExecutionTable.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/ExecutionTable.java
@@ -26,47 +26,47 @@
 final class ExecutionTable {
 
     /** What is known of an execution. */
-    sealed interface Known {
+    sealed interface Status {
         /** Nothing: it never came here. */
-        record Never() implements Known {}
+        record Unseen() implements Status {}
 
         /** It is queued or running. */
-        record Live(Run run) implements Known {}
+        record Active(Run run) implements Status {}
 
         /** It ended with a whole answer, which is still held. */
-        record Whole(List<Frame.FromAgent> answer) implements Known {}
+        record Completed(List<Frame.FromAgent> answer) implements Status {}
 
         /** It began and its answer is not held. */
-        record Lost(ResultCode code, String detail) implements Known {}
+        record ResultUnavailable(ResultCode code, String detail) implements Status {}
 
         /** It did not begin, and this and earlier generations never will. */
-        record Closed() implements Known {}
+        record Closed() implements Status {}
     }
 
     private static final class Entry {
-        private final Instant since;
+        private final Instant recordedAt;
         private long generation;
-        private Known known;
-        private long bytes;
+        private Status status;
+        private long outputBytes;
         private final List<Frame.FromAgent> output = new ArrayList<>();
 
-        Entry(Instant since, long generation, Known known) {
-            this.since = since;
+        Entry(Instant recordedAt, long generation, Status status) {
+            this.recordedAt = recordedAt;
             this.generation = generation;
-            this.known = known;
+            this.status = status;
         }
     }
 
     private final Map<KeyDigest, Entry> entries = new LinkedHashMap<>();
-    private final int bound;
-    private final long byteBound;
+    private final int maxEntries;
+    private final long maxOutputBytes;
     private final Duration ttl;
     private final InvariantMonitor monitor;
-    private long bytes;
+    private long outputBytes;
 
     ExecutionTable(AgentOptions options, InvariantMonitor monitor) {
-        this.bound = options.recordBound();
-        this.byteBound = options.recordBytes();
+        this.maxEntries = options.maxRecords();
+        this.maxOutputBytes = options.maxRecordBytes();
         this.ttl = options.recordTtl();
         this.monitor = monitor;
     }
@@ -76,63 +76,63 @@
     }
 
     /** Returns what is known of an execution; a generation closed earlier counts as closed. */
-    Known lookup(Execution execution) {
+    Status lookup(Execution execution) {
         Entry entry = entries.get(execution.digest());
         if (entry == null) {
-            return new Known.Never();
+            return new Status.Unseen();
         }
-        if (entry.known instanceof Known.Closed && execution.generation() > entry.generation) {
-            return new Known.Never();
+        if (entry.status instanceof Status.Closed && execution.generation() > entry.generation) {
+            return new Status.Unseen();
         }
-        return entry.known;
+        return entry.status;
     }
 
     /** Takes in a run that is now queued. */
-    void queued(Run run, Instant now) {
+    void recordQueued(Run run, Instant now) {
         Execution execution = run.execution().orElseThrow();
         entries.remove(execution.digest());
-        entries.put(execution.digest(), new Entry(now, execution.generation(), new Known.Live(run)));
+        entries.put(execution.digest(), new Entry(now, execution.generation(), new Status.Active(run)));
     }
 
     /** Notes that a run begins at the backend server. */
-    void begins(Run run) {
+    void recordStart(Run run) {
         Entry entry = entries.get(run.execution().orElseThrow().digest());
-        boolean first = entry != null && entry.known instanceof Known.Live(Run live) && live == run;
-        monitor.check(Promise.AT_MOST_ONCE, first, () -> run + " begins although " + describe(entry));
+        boolean permitted = entry != null && entry.status instanceof Status.Active(Run active) && active == run;
+        monitor.check(Promise.AT_MOST_ONCE, permitted, () -> run + " begins although " + describe(entry));
     }
 
     private static String describe(Entry entry) {
-        return entry == null ? "nothing is recorded" : "the record says " + entry.known;
+        return entry == null ? "nothing is recorded" : "the record says " + entry.status;
     }
 
     /** Closes a generation: it did not begin and never will. */
     void close(Execution execution, Instant now) {
         Entry entry = entries.get(execution.digest());
         boolean began = entry != null
-                && switch (entry.known) {
-                    case Known.Whole whole -> true;
-                    case Known.Lost lost -> true;
-                    case Known.Live live -> live.run().machine().in(RunState.RUNNING);
-                    case Known.Never never -> false;
-                    case Known.Closed closed -> false;
+                && switch (entry.status) {
+                    case Status.Completed completed -> true;
+                    case Status.ResultUnavailable unavailable -> true;
+                    case Status.Active active -> active.run().stateMachine().in(RunState.RUNNING);
+                    case Status.Unseen unseen -> false;
+                    case Status.Closed closed -> false;
                 };
         monitor.check(Promise.NOT_RUN_IS_TRUE, !began, () -> execution + " is closed but " + describe(entry));
         long generation = Math.max(execution.generation(), entry == null ? 0 : entry.generation);
         dropOutput(entry);
         entries.remove(execution.digest());
-        entries.put(execution.digest(), new Entry(now, generation, new Known.Closed()));
+        entries.put(execution.digest(), new Entry(now, generation, new Status.Closed()));
     }
 
     /** Holds a piece of output of a running execution. */
-    void output(Run run, Frame.FromAgent frame) {
+    void recordOutput(Run run, Frame.FromAgent frame) {
         Entry entry = entries.get(run.execution().orElseThrow().digest());
         if (entry == null) {
             return;
         }
         entry.output.add(frame);
         long size = frame instanceof Frame.Chunk chunk ? chunk.data().length : 0;
-        entry.bytes += size;
-        bytes += size;
+        entry.outputBytes += size;
+        outputBytes += size;
     }
 
     /** Returns the output of a live run so far. */
@@ -142,38 +142,39 @@
     }
 
     /** Notes that a run ended with a whole answer. */
-    void whole(Run run, Frame.FromAgent done) {
-        output(run, done);
+    void recordCompletion(Run run, Frame.FromAgent done) {
+        recordOutput(run, done);
         Entry entry = entries.get(run.execution().orElseThrow().digest());
         if (entry != null) {
-            entry.known = new Known.Whole(List.copyOf(entry.output));
+            entry.status = new Status.Completed(List.copyOf(entry.output));
         }
     }
 
     /** Notes that a run began and has no whole answer. */
-    void lost(Run run, ResultCode code, String detail) {
+    void recordFailure(Run run, ResultCode code, String detail) {
         Entry entry = entries.get(run.execution().orElseThrow().digest());
         if (entry != null) {
             dropOutput(entry);
-            entry.known = new Known.Lost(code, detail);
+            entry.status = new Status.ResultUnavailable(code, detail);
         }
     }
 
     /** Drops what is over the bounds, oldest first, but never what is still live. */
-    void trim(Instant now) {
-        Iterator<Entry> oldest = entries.values().iterator();
-        while (oldest.hasNext()) {
-            Entry entry = oldest.next();
-            if (entry.known instanceof Known.Live) {
+    void evict(Instant now) {
+        Iterator<Entry> oldestFirst = entries.values().iterator();
+        while (oldestFirst.hasNext()) {
+            Entry entry = oldestFirst.next();
+            if (entry.status instanceof Status.Active) {
                 continue;
             }
-            if (entry.since.plus(ttl).isBefore(now) || entries.size() > bound) {
+            if (entry.recordedAt.plus(ttl).isBefore(now) || entries.size() > maxEntries) {
                 dropOutput(entry);
-                oldest.remove();
-            } else if (bytes > byteBound) {
+                oldestFirst.remove();
+            } else if (outputBytes > maxOutputBytes) {
                 dropOutput(entry);
-                if (entry.known instanceof Known.Whole) {
-                    entry.known = new Known.Lost(ResultCode.OUTCOME_UNKNOWN, "the result is no longer held");
+                if (entry.status instanceof Status.Completed) {
+                    entry.status =
+                            new Status.ResultUnavailable(ResultCode.OUTCOME_UNKNOWN, "the result is no longer held");
                 }
             } else {
                 return;
@@ -182,20 +183,20 @@
     }
 
     /** Returns whether a record may have been dropped for want of room rather than for its age. */
-    boolean full() {
-        return entries.size() >= bound;
+    boolean isFull() {
+        return entries.size() >= maxEntries;
     }
 
     private void dropOutput(Entry entry) {
         if (entry != null) {
-            bytes -= entry.bytes;
-            entry.bytes = 0;
+            outputBytes -= entry.outputBytes;
+            entry.outputBytes = 0;
             entry.output.clear();
         }
     }
 
-    Optional<Run> live(KeyDigest digest) {
+    Optional<Run> activeRun(KeyDigest digest) {
         Entry entry = entries.get(digest);
-        return entry != null && entry.known instanceof Known.Live(Run run) ? Optional.of(run) : Optional.empty();
+        return entry != null && entry.status instanceof Status.Active(Run run) ? Optional.of(run) : Optional.empty();
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/agent/RouterLinks.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/RouterLinks.java
@@ -15,8 +15,8 @@
 final class RouterLinks {
     private final AgentPort port;
     private final InstantSource clock;
-    private final Map<RouterId, Map<Long, Run>> attempts = new HashMap<>();
-    private final Map<RouterId, Instant> loadToldAt = new HashMap<>();
+    private final Map<RouterId, Map<Long, Run>> runsByAttempt = new HashMap<>();
+    private final Map<RouterId, Instant> loadReportedAt = new HashMap<>();
 
     RouterLinks(AgentPort port, InstantSource clock) {
         this.port = port;
@@ -24,73 +24,73 @@
     }
 
     int count() {
-        return attempts.size();
+        return runsByAttempt.size();
     }
 
-    boolean connected(RouterId router) {
-        return attempts.containsKey(router);
+    boolean isConnected(RouterId router) {
+        return runsByAttempt.containsKey(router);
     }
 
     List<RouterId> routers() {
-        return List.copyOf(attempts.keySet());
+        return List.copyOf(runsByAttempt.keySet());
     }
 
     /** Returns connected routers of the same name: earlier incarnations of one. */
-    List<RouterId> namesakes(RouterId router) {
-        return attempts.keySet().stream()
+    List<RouterId> withSameName(RouterId router) {
+        return runsByAttempt.keySet().stream()
                 .filter(other -> other.name().equals(router.name()))
                 .toList();
     }
 
     void connect(RouterId router) {
-        attempts.put(router, new HashMap<>());
+        runsByAttempt.put(router, new HashMap<>());
     }
 
     /** Forgets a router; returns the runs of its attempts, which stay the caller's to end, if it was connected. */
     Collection<Run> disconnect(RouterId router) {
-        loadToldAt.remove(router);
-        Map<Long, Run> lost = attempts.remove(router);
-        return lost == null ? List.of() : lost.values();
+        loadReportedAt.remove(router);
+        Map<Long, Run> routerRuns = runsByAttempt.remove(router);
+        return routerRuns == null ? List.of() : routerRuns.values();
     }
 
     /** Notes that a router's attempt is served by a run. */
     void attach(RouterId router, long attempt, Run run) {
-        attempts.get(router).put(attempt, run);
+        runsByAttempt.get(router).put(attempt, run);
     }
 
     Optional<Run> run(RouterId router, long attempt) {
-        return Optional.ofNullable(attempts.get(router).get(attempt));
+        return Optional.ofNullable(runsByAttempt.get(router).get(attempt));
     }
 
     Optional<Run> detach(RouterId router, long attempt) {
-        return Optional.ofNullable(attempts.get(router).remove(attempt));
+        return Optional.ofNullable(runsByAttempt.get(router).remove(attempt));
     }
 
     /** Forgets the attempts that a run served; it has no subscribers afterwards. */
-    void forget(Run run) {
+    void detachAll(Run run) {
         for (Subscriber subscriber : run.subscribers()) {
-            Map<Long, Run> own = attempts.get(subscriber.router());
-            if (own != null) {
-                own.remove(subscriber.attempt());
+            Map<Long, Run> routerRuns = runsByAttempt.get(subscriber.router());
+            if (routerRuns != null) {
+                routerRuns.remove(subscriber.attempt());
             }
         }
         run.subscribers().clear();
     }
 
     /** Returns the routers that have not been told the load for a time. */
-    List<RouterId> untold(Duration since) {
+    List<RouterId> loadReportDue(Duration interval) {
         Instant now = clock.instant();
-        return attempts.keySet().stream()
+        return runsByAttempt.keySet().stream()
                 .filter(router -> {
-                    Instant told = loadToldAt.get(router);
-                    return told == null || !told.plus(since).isAfter(now);
+                    Instant reportedAt = loadReportedAt.get(router);
+                    return reportedAt == null || !reportedAt.plus(interval).isAfter(now);
                 })
                 .toList();
     }
 
     void send(RouterId router, Frame.FromAgent frame) {
         if (frame instanceof Frame.LoadReport) {
-            loadToldAt.put(router, clock.instant());
+            loadReportedAt.put(router, clock.instant());
         }
         port.send(router, frame);
     }
--- a/core/src/main/java/org/tanagerhinge/core/agent/Run.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/Run.java
@@ -16,26 +16,26 @@
 public final class Run {
     private static final StateChart<RunState, RunEvent> CHART = StateChart.load("run", RunState.class, RunEvent.class);
     /** A prompt token costs the engine this many times less than a generated one. */
-    private static final long PROMPT_TOKENS_PER_UNIT = 16;
+    private static final long PROMPT_TOKENS_PER_COST_UNIT = 16;
     /** A run that outlives its expected length is expected to go on for this part of what it has produced. */
     private static final int OVERRUN_DIVISOR = 4;
 
     private final long id;
     private final Submit submit;
-    private final Instant arrived;
+    private final Instant arrivedAt;
     private final Instant deadline;
-    private final Machine<RunState, RunEvent> machine = CHART.start();
+    private final Machine<RunState, RunEvent> stateMachine = CHART.start();
     private final List<Subscriber> subscribers = new ArrayList<>();
     private long producedUnits;
-    private Instant lastProgress;
-    private Instant dispatched;
+    private Instant lastOutputAt;
+    private Instant dispatchedAt;
     private boolean paused;
 
-    Run(long id, Submit submit, Instant now) {
+    Run(long id, Submit submit, Instant arrivedAt) {
         this.id = id;
         this.submit = submit;
-        this.arrived = now;
-        this.deadline = now.plus(submit.timeLeft());
+        this.arrivedAt = arrivedAt;
+        this.deadline = arrivedAt.plus(submit.timeLeft());
         this.producedUnits = submit.resumeFrom();
     }
 
@@ -57,8 +57,8 @@
         return work().terms().tier();
     }
 
-    Instant arrived() {
-        return arrived;
+    Instant arrivedAt() {
+        return arrivedAt;
     }
 
     Instant deadline() {
@@ -66,9 +66,9 @@
     }
 
     /** Returns when the run must be dispatched to meet its target, given how long first output takes after that. */
-    Instant startBy(Duration untilOutput) {
+    Instant latestDispatch(Duration firstOutputLatency) {
         Duration target = work().terms().startTarget();
-        return target.isZero() ? deadline : arrived.plus(target).minus(untilOutput);
+        return target.isZero() ? deadline : arrivedAt.plus(target).minus(firstOutputLatency);
     }
 
     Duration timeLeft(Instant now) {
@@ -79,8 +79,8 @@
         return submit.execution();
     }
 
-    Machine<RunState, RunEvent> machine() {
-        return machine;
+    Machine<RunState, RunEvent> stateMachine() {
+        return stateMachine;
     }
 
     List<Subscriber> subscribers() {
@@ -96,7 +96,7 @@
         if (isService()) {
             return 1;
         }
-        return Math.max(1, submit.expectedUnits() + work().promptUnits() / PROMPT_TOKENS_PER_UNIT);
+        return Math.max(1, submit.expectedUnits() + work().promptUnits() / PROMPT_TOKENS_PER_COST_UNIT);
     }
 
     /** Returns the cost that is expected still to come. */
@@ -112,23 +112,23 @@
         return producedUnits;
     }
 
-    boolean streaming() {
-        return lastProgress != null;
+    boolean hasOutput() {
+        return lastOutputAt != null;
     }
 
-    Instant dispatched() {
-        return dispatched;
+    Instant dispatchedAt() {
+        return dispatchedAt;
     }
 
     void markDispatched(Instant now) {
-        dispatched = now;
+        dispatchedAt = now;
     }
 
     /** Notes output, and returns the time since the output before it, or empty for the first. */
-    Optional<Duration> progress(long units, Instant now) {
-        Optional<Duration> gap = Optional.ofNullable(lastProgress).map(last -> Duration.between(last, now));
+    Optional<Duration> recordOutput(long units, Instant now) {
+        Optional<Duration> gap = Optional.ofNullable(lastOutputAt).map(last -> Duration.between(last, now));
         producedUnits += units;
-        lastProgress = now;
+        lastOutputAt = now;
         return gap;
     }
 
@@ -136,8 +136,8 @@
         return paused;
     }
 
-    void paused(boolean next) {
-        paused = next;
+    void paused(boolean newPaused) {
+        paused = newPaused;
     }
 
     @Override
--- a/core/src/main/java/org/tanagerhinge/core/agent/Subscriber.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/Subscriber.java
@@ -22,16 +22,16 @@
         return attempt;
     }
 
-    void sent(long units) {
+    void recordSent(long units) {
         sentUnits += units;
     }
 
-    void credited(long units) {
+    void recordCredit(long units) {
         creditedUnits += units;
     }
 
     /** Returns units sent that the caller has not yet taken. */
-    long outstanding() {
+    long outstandingUnits() {
         return sentUnits - creditedUnits;
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/agent/ExecutionTableTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/agent/ExecutionTableTest.java
@@ -26,27 +26,27 @@
     @BeforeEach
     void start() {
         table = new ExecutionTable(AgentOptions.defaults(), InvariantMonitor.strict());
-        run = Runs.run("card", 1, 10, 10, "ws", Duration.ofSeconds(10), Optional.of(FIRST));
+        run = TestRuns.run("card", 1, 10, 10, "ws", Duration.ofSeconds(10), Optional.of(FIRST));
     }
 
     @Test
     void aWholeAnswerIsHeldForWhoeverAsksAgain() {
-        table.queued(run, Runs.NOW);
-        table.begins(run);
-        table.output(run, new Frame.Chunk(0, 0, 1, new byte[3]));
-        table.whole(run, new Frame.Done(0, 1, "stop", Load.none()));
+        table.recordQueued(run, TestRuns.NOW);
+        table.recordStart(run);
+        table.recordOutput(run, new Frame.Chunk(0, 0, 1, new byte[3]));
+        table.recordCompletion(run, new Frame.Done(0, 1, "stop", Load.none()));
         assertEquals(
                 2,
-                assertInstanceOf(ExecutionTable.Known.Whole.class, table.lookup(FIRST))
+                assertInstanceOf(ExecutionTable.Status.Completed.class, table.lookup(FIRST))
                         .answer()
                         .size());
     }
 
     @Test
     void aClosedGenerationStaysClosedAndTheNextIsOpen() {
-        table.close(Execution.of(DIGEST, 2), Runs.NOW);
-        assertInstanceOf(ExecutionTable.Known.Closed.class, table.lookup(FIRST));
-        assertInstanceOf(ExecutionTable.Known.Never.class, table.lookup(Execution.of(DIGEST, 3)));
+        table.close(Execution.of(DIGEST, 2), TestRuns.NOW);
+        assertInstanceOf(ExecutionTable.Status.Closed.class, table.lookup(FIRST));
+        assertInstanceOf(ExecutionTable.Status.Unseen.class, table.lookup(Execution.of(DIGEST, 3)));
     }
 
     @Test
@@ -60,29 +60,29 @@
                         small.recordTtl(),
                         100,
                         2,
-                        small.heartbeat(),
-                        small.overdueGrace(),
+                        small.heartbeatInterval(),
+                        small.deadlineGrace(),
                         small.concurrency()),
                 InvariantMonitor.strict());
-        bounded.queued(run, Runs.NOW);
-        bounded.output(run, new Frame.Chunk(0, 0, 1, new byte[3]));
-        bounded.whole(run, new Frame.Done(0, 1, "stop", Load.none()));
-        bounded.trim(Runs.NOW);
+        bounded.recordQueued(run, TestRuns.NOW);
+        bounded.recordOutput(run, new Frame.Chunk(0, 0, 1, new byte[3]));
+        bounded.recordCompletion(run, new Frame.Done(0, 1, "stop", Load.none()));
+        bounded.evict(TestRuns.NOW);
         assertEquals(
                 ResultCode.OUTCOME_UNKNOWN,
-                assertInstanceOf(ExecutionTable.Known.Lost.class, bounded.lookup(FIRST))
+                assertInstanceOf(ExecutionTable.Status.ResultUnavailable.class, bounded.lookup(FIRST))
                         .code());
     }
 
     @Test
     void beginningWithoutARecordIsCaught() {
-        assertThrows(IllegalStateException.class, () -> table.begins(run));
+        assertThrows(IllegalStateException.class, () -> table.recordStart(run));
     }
 
     @Test
     void closingWhatHasBegunIsCaught() {
-        table.queued(run, Runs.NOW);
-        run.machine().fire(RunEvent.DISPATCH);
-        assertThrows(IllegalStateException.class, () -> table.close(FIRST, Runs.NOW));
+        table.recordQueued(run, TestRuns.NOW);
+        run.stateMachine().fire(RunEvent.DISPATCH);
+        assertThrows(IllegalStateException.class, () -> table.close(FIRST, TestRuns.NOW));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/agent/Runs.java
+++ b/core/src/test/java/org/tanagerhinge/core/agent/TestRuns.java
@@ -14,12 +14,12 @@
 import org.tanagerhinge.core.message.Work;
 
 /** Makes the runs that tests of an agent's decisions need. */
-final class Runs {
+final class TestRuns {
     static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
     static final Duration START_TARGET = Duration.ofSeconds(2);
     private static long ids;
 
-    private Runs() {}
+    private TestRuns() {}
 
     static Run run(String profile, int tier, double share, long cost) {
         return run(profile, tier, share, cost, "ws", Duration.ofSeconds(60), Optional.empty());
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/ControlCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/ControlCost.java
@@ -97,7 +97,7 @@
                 AgentCore.create(Fixture.server(0), 1, AgentOptions.defaults(), clock, port, InvariantMonitor.strict());
         core.applyConfig(Fixture.config(750, 10));
         for (int i = 0; i < routers; i++) {
-            core.onRouterUp(RouterId.of("router-" + i, i));
+            core.onRouterConnected(RouterId.of("router-" + i, i));
         }
         byte[] heartbeat = FrameEncoder.encode(new Frame.Heartbeat(ConfigRevision.of(1, 1)))
                 .toByteArray();
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/DecisionCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/DecisionCost.java
@@ -67,11 +67,11 @@
                 1,
                 AgentOptions.defaults()
                         .withQueue(100_000, 1L << 32)
-                        .withConcurrency(new AgentOptions.Concurrency.Adaptive(16, 16)),
+                        .withConcurrency(new AgentOptions.ConcurrencyPolicy.Adaptive(16, 16)),
                 clock,
                 port,
                 InvariantMonitor.strict());
-        core.onRouterUp(ROUTER);
+        core.onRouterConnected(ROUTER);
         int attempt = 0;
         while (attempt < queued + 16) {
             core.onFrame(ROUTER, submit(attempt, attempt % workspaces));
@@ -82,7 +82,7 @@
             core.onFrame(ROUTER, submit(attempt, attempt % workspaces));
             attempt++;
             Run oldest = port.started.get(i);
-            core.onFinished(oldest.id(), "stop");
+            core.onCompleted(oldest.id(), "stop");
         }
         return (Probe.ownCpuNanos() - cpu) / 1e3 / REQUESTS;
     }
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/Fixture.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/Fixture.java
@@ -131,13 +131,13 @@
         public void probe() {}
 
         @Override
-        public void pause(long runId, boolean paused) {}
+        public void setPaused(long runId, boolean paused) {}
 
         @Override
         public void count(String reason) {}
 
         @Override
-        public void applied(ClusterConfig config) {}
+        public void configApplied(ClusterConfig config) {}
     }
 
     static long wireBytes(Frame frame) {
--- a/harness/src/main/java/org/tanagerhinge/bench/cluster/LocalCluster.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/cluster/LocalCluster.java
@@ -146,7 +146,7 @@
                 : services.get(name).url();
         AgentOptions options = kind == Kind.PRODUCT
                 ? AgentOptions.defaults()
-                : AgentOptions.defaults().withConcurrency(new AgentOptions.Concurrency.Unbounded());
+                : AgentOptions.defaults().withConcurrency(new AgentOptions.ConcurrencyPolicy.Unbounded());
         AgentDaemon agent = AgentDaemon.start(new AgentDaemon.Parts(
                 ServerId.of(name),
                 new InetSocketAddress("127.0.0.1", port),
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimAgent.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimAgent.java
@@ -42,7 +42,7 @@
         applied = ConfigRevision.NONE;
         AgentOptions options = AgentOptions.defaults()
                 .withQueue(40, 1 << 20)
-                .withConcurrency(new AgentOptions.Concurrency.Adaptive(3, 8));
+                .withConcurrency(new AgentOptions.ConcurrencyPolicy.Adaptive(3, 8));
         core = AgentCore.create(ServerId.of(name), sim.random.nextLong(), options, sim.timeline, this, sim.checks);
         poll(life());
     }
@@ -81,7 +81,7 @@
             if (!up() || life() != ofLife) {
                 return;
             }
-            if (!core.drained()) {
+            if (!core.isDrained()) {
                 awaitDrained(ofLife);
                 return;
             }
@@ -99,7 +99,7 @@
 
     void linkUp(SimLink link) {
         SimLink former = links.put(link.router().id(), link);
-        core.onRouterUp(link.router().id());
+        core.onRouterConnected(link.router().id());
         if (former != null) {
             former.agentGivesUp();
         }
@@ -107,7 +107,7 @@
 
     void linkDown(SimLink link) {
         if (links.remove(link.router().id(), link)) {
-            core.onRouterDown(link.router().id());
+            core.onRouterDisconnected(link.router().id());
         }
     }
 
@@ -143,7 +143,7 @@
     }
 
     @Override
-    public void pause(long runId, boolean paused) {
+    public void setPaused(long runId, boolean paused) {
         backend.pause(runId, paused);
     }
 
@@ -153,7 +153,7 @@
     }
 
     @Override
-    public void applied(ClusterConfig config) {
+    public void configApplied(ClusterConfig config) {
         sim.checks.check(
                 Promise.CONFIG_FORWARD,
                 !config.revision().behind(applied),
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimBackend.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimBackend.java
@@ -53,7 +53,7 @@
             if (next >= request.length()) {
                 // All tokens were delivered before the end got lost; a model asked to go on stops at once.
                 streams.remove(run.id());
-                agent.deliver(agentLife, () -> agent.core().onFinished(run.id(), "stop"));
+                agent.deliver(agentLife, () -> agent.core().onCompleted(run.id(), "stop"));
                 return;
             }
             byte[] data = SimRequest.token(request.number(), next).getBytes(StandardCharsets.UTF_8);
@@ -61,7 +61,7 @@
             agent.deliver(agentLife, () -> agent.core().onOutput(run.id(), 1, data));
             if (next >= request.length()) {
                 streams.remove(run.id());
-                agent.deliver(agentLife, () -> agent.core().onFinished(run.id(), "stop"));
+                agent.deliver(agentLife, () -> agent.core().onCompleted(run.id(), "stop"));
             } else {
                 schedule();
             }
@@ -111,9 +111,9 @@
     private void call(Run run, SimRequest request, int life) {
         byte[] answer = SimRequest.token(request.number(), 0).getBytes(StandardCharsets.UTF_8);
         sim.timeline.after(Duration.ofMillis((long) (CALL_MILLIS * slowdown)), () -> {
-            agent.deliver(life, () -> agent.core().onHead(run.id(), 200, "text/plain"));
+            agent.deliver(life, () -> agent.core().onResponseHead(run.id(), 200, "text/plain"));
             agent.deliver(life, () -> agent.core().onOutput(run.id(), answer.length, answer));
-            agent.deliver(life, () -> agent.core().onFinished(run.id(), "complete"));
+            agent.deliver(life, () -> agent.core().onCompleted(run.id(), "complete"));
         });
     }
 
@@ -134,7 +134,7 @@
         boolean answers = !down && !stalled;
         sim.timeline.after(
                 Duration.ofMillis(2),
-                () -> agent.deliver(life, () -> agent.core().onProbed(answers)));
+                () -> agent.deliver(life, () -> agent.core().onProbeResult(answers)));
     }
 
     /** Everything running fails, and for a while everything started does. */
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/Simulation.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/Simulation.java
@@ -211,8 +211,8 @@
             for (SimAgent agent : agents.values()) {
                 checks.check(
                         Promise.CONFIG_FORWARD,
-                        !agent.core().revision().behind(newest),
-                        () -> agent + " is at " + agent.core().revision() + ", not " + newest);
+                        !agent.core().configRevision().behind(newest),
+                        () -> agent + " is at " + agent.core().configRevision() + ", not " + newest);
             }
         } catch (PlatformException | InvalidConfigException e) {
             throw new IllegalStateException(e);
