--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyPort.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyClient.java
@@ -7,9 +7,9 @@
  * The calls that a holder and those who want to be one make. Callbacks come once, on the thread of the caller, after the call
  * has returned.
  */
-public interface DutyPort {
+public interface DutyClient {
     /** Asks the store for a lease; {@code done} gets its number. */
-    void lease(long timeMillis, Consumer<DutyReply<Long>> done);
+    void grantLease(long ttlMillis, Consumer<CallOutcome<Long>> callback);
 
     /**
      * Writes a claim under a lease if nobody holds the duty.
@@ -17,47 +17,47 @@
      * @param holders names of the nodes that held it last, this one the newest; they outlast the lease
      * @param done gets whether it was written
      */
-    void claim(String claim, long lease, List<String> holders, Consumer<DutyReply<Boolean>> done);
+    void claim(String claim, long leaseId, List<String> recentHolders, Consumer<CallOutcome<Boolean>> callback);
 
     /** Renews a lease; {@code done} gets whether it still runs. */
-    void renew(long lease, Consumer<DutyReply<Boolean>> done);
+    void renewLease(long leaseId, Consumer<CallOutcome<Boolean>> callback);
 
     /** Ends a lease, and the holding under it; the answer doesn't matter. */
-    void endLease(long lease);
+    void revokeLease(long leaseId);
 
     /** Reads what the store holds of the duty. */
-    void read(Consumer<DutyReply<UsageRecord>> done);
+    void readRecord(Consumer<CallOutcome<DutyRecord>> callback);
 
     /**
      * Fixes a window's counts, if the holding of a token still stands.
      *
      * @param forget the newest window that may be removed from the store
      */
-    void fix(long token, UsageCounts counts, long forget, Consumer<DutyReply<Fixed>> done);
+    void commitUsage(long fencingToken, UsageCounts counts, long pruneThrough, Consumer<CallOutcome<CommitResult>> callback);
 
     /** Saves what was heard of windows that aren't fixed, if the holding still stands; {@code done} gets whether it does. */
-    void save(long token, List<UsageReport> tally, Consumer<DutyReply<Boolean>> done);
+    void saveReports(long fencingToken, List<UsageReport> reports, Consumer<CallOutcome<Boolean>> callback);
 
     /** Gives the duty back with what was heard; {@code done} runs once that is known to be done or to have failed. */
-    void release(long token, List<UsageReport> tally, Runnable done);
+    void release(long fencingToken, List<UsageReport> reports, Runnable callback);
 
     /** Reports a window's counts to the platform. */
-    void report(long token, UsageCounts counts, Consumer<DutyReply<Reported>> done);
+    void reportUsage(long fencingToken, UsageCounts counts, Consumer<CallOutcome<ReportResult>> callback);
 
     /** What became of fixing a window's counts. */
-    sealed interface Fixed {
+    sealed interface CommitResult {
         /** They are fixed. */
-        record Now() implements Fixed {}
+        record Committed() implements CommitResult {}
 
         /** The window has been fixed before, with these counts. */
-        record Before(UsageCounts counts) implements Fixed {}
+        record AlreadyCommitted(UsageCounts counts) implements CommitResult {}
 
         /** The holding of the token has ended. */
-        record NotHolder() implements Fixed {}
+        record NotHolder() implements CommitResult {}
     }
 
     /** What the platform said of a report. */
-    enum Reported {
+    enum ReportResult {
         ACCEPTED,
         /** A higher fencing token was seen: the holding has ended. */
         FENCED,
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyHolding.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyHolding.java
@@ -34,12 +34,12 @@
     private static final long FIRST_BACKOFF_MILLIS = 400;
     private static final long LONGEST_BACKOFF_MILLIS = 4_000;
 
-    private final DutyTerms terms;
-    private final DutyClock clock;
-    private final DutyPort port;
+    private final DutySettings terms;
+    private final NodeClock clock;
+    private final DutyClient port;
     private final RandomGenerator random;
     private final DutyListener listener;
-    private final Consumer<UsageRecord> takeOver;
+    private final Consumer<DutyRecord> takeOver;
     private final Runnable lost;
     private final String claimant;
     private final Machine<DutyState, DutyEvent> machine = CHART.start();
@@ -64,13 +64,13 @@
     private long actFrom;
 
     DutyHolding(
-            DutyTerms terms,
-            DutyClock clock,
-            DutyPort port,
+            DutySettings terms,
+            NodeClock clock,
+            DutyClient port,
             RandomGenerator random,
             DutyListener listener,
             long incarnation,
-            Consumer<UsageRecord> takeOver,
+            Consumer<DutyRecord> takeOver,
             Runnable lost) {
         this.terms = terms;
         this.clock = clock;
@@ -82,7 +82,7 @@
         this.claimant = terms.node() + "/" + Long.toHexString(incarnation);
         // A process that ended under this name may have acted just now: it counts as the same holder.
         this.startedAt = clock.steadyMillis();
-        this.notBefore = clock.steadyMillis() + terms.restMillis();
+        this.notBefore = clock.steadyMillis() + terms.cooldownMillis();
         this.unheldSince = clock.steadyMillis();
     }
 
@@ -140,21 +140,21 @@
 
     private static long highestToken(List<DutyPeer> others) {
         return others.stream()
-                .filter(DutyPeer::present)
-                .mapToLong(peer -> peer.word().token())
+                .filter(DutyPeer::alive)
+                .mapToLong(peer -> peer.announcement().fencingToken())
                 .max()
                 .orElse(0);
     }
 
     private boolean itsTurn(List<DutyPeer> others, int power, long now) {
         long better = others.stream()
-                .filter(peer -> peer.present() && better(peer, power))
+                .filter(peer -> peer.alive() && better(peer, power))
                 .count();
         return now - unheldSince >= better * TURN_MILLIS;
     }
 
     private boolean better(DutyPeer peer, int power) {
-        int other = peer.word().power();
+        int other = peer.announcement().preference();
         return other > power || (other == power && peer.name().compareTo(terms.node()) < 0);
     }
 
@@ -162,19 +162,19 @@
 
     private void ask() {
         machine.fire(DutyEvent.ASK);
-        port.read(hearing(reply -> {
+        port.readRecord(hearing(reply -> {
             switch (reply) {
-                case DutyReply.Answered<UsageRecord>(UsageRecord found) -> {
-                    if (found.holding().isPresent()) {
-                        lose("held by " + found.holding().get().claim());
-                    } else if (heldBeforeAnother(found.holders())) {
+                case CallOutcome.Completed<DutyRecord>(DutyRecord found) -> {
+                    if (found.ownership().isPresent()) {
+                        lose("held by " + found.ownership().get().claim());
+                    } else if (heldBeforeAnother(found.recentHolders())) {
                         lose("a process before this one held it");
-                        nextTry = startedAt + terms.lateCallsMillis();
+                        nextTry = startedAt + terms.maxCallDelayMillis();
                     } else {
-                        askLease(found.holders());
+                        askLease(found.recentHolders());
                     }
                 }
-                case DutyReply.Unknown<UsageRecord>(String why) -> lose(why);
+                case CallOutcome.Unknown<DutyRecord>(String why) -> lose(why);
             }
         }));
     }
@@ -184,7 +184,7 @@
      * has held the duty since: its calls and those of this one would stand on both sides of the other's.
      */
     private boolean heldBeforeAnother(List<String> holders) {
-        return clock.steadyMillis() - startedAt < terms.lateCallsMillis()
+        return clock.steadyMillis() - startedAt < terms.maxCallDelayMillis()
                 && holders.contains(terms.node())
                 && !holders.get(holders.size() - 1).equals(terms.node());
     }
@@ -193,10 +193,10 @@
         long sent = clock.steadyMillis();
         long offset = offset();
         long asked = epoch;
-        port.lease(terms.leaseMillis(), reply -> {
-            if (reply instanceof DutyReply.Answered<Long>(Long granted)) {
+        port.grantLease(terms.leaseMillis(), reply -> {
+            if (reply instanceof CallOutcome.Completed<Long>(Long granted)) {
                 if (asked != epoch) {
-                    port.endLease(granted);
+                    port.revokeLease(granted);
                     return;
                 }
                 lease = granted;
@@ -218,10 +218,10 @@
         List<String> kept = List.copyOf(newer.subList(Math.max(0, newer.size() - MOST_HOLDERS), newer.size()));
         port.claim(claim, claimed, kept, reply -> {
             if (asked != epoch) {
-                port.endLease(claimed);
+                port.revokeLease(claimed);
                 return;
             }
-            if (reply instanceof DutyReply.Answered<Boolean>(Boolean written) && !written) {
+            if (reply instanceof CallOutcome.Completed<Boolean>(Boolean written) && !written) {
                 abandon("another node was first");
             } else {
                 machine.fire(DutyEvent.ASKED);
@@ -235,33 +235,33 @@
      * write has changed. A claim that is carried out later still holds for no longer than its lease.
      */
     private void findOut(String claim) {
-        port.read(hearing(reply -> {
+        port.readRecord(hearing(reply -> {
             switch (reply) {
-                case DutyReply.Answered<UsageRecord>(UsageRecord found) -> {
-                    Optional<UsageRecord.Holding> own =
-                            found.holding().filter(holding -> holding.claim().equals(claim));
+                case CallOutcome.Completed<DutyRecord>(DutyRecord found) -> {
+                    Optional<DutyRecord.Ownership> own =
+                            found.ownership().filter(holding -> holding.claim().equals(claim));
                     if (own.isPresent()) {
-                        token = own.get().token();
+                        token = own.get().fencingToken();
                         begin(found);
                     } else {
                         abandon("claim was not carried out");
                     }
                 }
-                case DutyReply.Unknown<UsageRecord>(String why) -> abandon(why);
+                case CallOutcome.Unknown<DutyRecord>(String why) -> abandon(why);
             }
         }));
     }
 
-    private void begin(UsageRecord found) {
+    private void begin(DutyRecord found) {
         backoff = FIRST_BACKOFF_MILLIS;
-        actFrom = clock.steadyMillis() + (terms.fenced() ? 0 : terms.lateCallsMillis());
+        actFrom = clock.steadyMillis() + (terms.fencingEnforced() ? 0 : terms.maxCallDelayMillis());
         takeOver.accept(found);
         machine.fire(DutyEvent.CLAIMED);
-        listener.held(token);
+        listener.dutyAcquired(token);
     }
 
     private void abandon(String why) {
-        port.endLease(lease);
+        port.revokeLease(lease);
         lose(why);
     }
 
@@ -271,17 +271,17 @@
         renewing = true;
         long sent = clock.steadyMillis();
         long offset = offset();
-        port.renew(lease, hearing(reply -> {
+        port.renewLease(lease, hearing(reply -> {
             renewing = false;
             switch (reply) {
-                case DutyReply.Answered<Boolean>(Boolean runs) -> {
+                case CallOutcome.Completed<Boolean>(Boolean runs) -> {
                     if (runs) {
                         proven(sent, offset);
                     } else {
                         lose("its lease has ended");
                     }
                 }
-                case DutyReply.Unknown<Boolean> unknown ->
+                case CallOutcome.Unknown<Boolean> unknown ->
                     nextRenewal = clock.steadyMillis() + terms.leaseMillis() / RENEWALS / 2;
             }
         }));
@@ -294,7 +294,7 @@
     }
 
     private long offset() {
-        return clock.timeOfDayMillis() - clock.steadyMillis();
+        return clock.wallClockMillis() - clock.steadyMillis();
     }
 
     private boolean jumped() {
@@ -323,13 +323,13 @@
         nextTry = now + backoff / 2 + random.nextLong(backoff);
         backoff = Math.min(LONGEST_BACKOFF_MILLIS, backoff * 2);
         if (held) {
-            notBefore = now + terms.restMillis();
-            if (unansweredAt > now - terms.lateCallsMillis()) {
-                notBefore += unansweredAt + terms.lateCallsMillis() - now;
+            notBefore = now + terms.cooldownMillis();
+            if (unansweredAt > now - terms.maxCallDelayMillis()) {
+                notBefore += unansweredAt + terms.maxCallDelayMillis() - now;
             }
-            port.endLease(lease);
+            port.revokeLease(lease);
             lost.run();
-            listener.lost(token, why);
+            listener.dutyLost(token, why);
         }
     }
 
@@ -342,13 +342,13 @@
         machine.fire(DutyEvent.STOP);
         epoch++;
         if (held) {
-            listener.lost(token, "stops");
-            port.release(token, tally, () -> port.endLease(lease));
+            listener.dutyLost(token, "stops");
+            port.release(token, tally, () -> port.revokeLease(lease));
         }
     }
 
     /** Returns a callback that isn't heard once the duty was lost or the node has stopped. */
-    private <T> Consumer<DutyReply<T>> hearing(Consumer<DutyReply<T>> taker) {
+    private <T> Consumer<CallOutcome<T>> hearing(Consumer<CallOutcome<T>> taker) {
         long asked = epoch;
         return reply -> {
             if (asked == epoch) {
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyListener.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyListener.java
@@ -3,10 +3,10 @@
 /** Hears what happens to a duty, for logs and metrics. */
 public interface DutyListener {
     /** This node holds the duty from now on. */
-    void held(long token);
+    void dutyAcquired(long fencingToken);
 
     /** This node doesn't hold the duty any more. */
-    void lost(long token, String why);
+    void dutyLost(long fencingToken, String reason);
 
     /**
      * A window's counts are fixed.
@@ -14,11 +14,11 @@
      * @param heard nodes whose counts are complete
      * @param known nodes that had something to tell
      */
-    void fixed(long token, UsageCounts counts, int heard, int known);
+    void usageCommitted(long fencingToken, UsageCounts counts, int completeNodes, int knownNodes);
 
     /** A window's report was answered, or had no answer. */
-    void reported(long token, UsageCounts counts, String outcome, long leaseLeftMillis);
+    void usageReported(long fencingToken, UsageCounts counts, String outcome, long remainingLeaseMillis);
 
     /** A window ended unreported. */
-    void missed(long window, String why);
+    void windowMissed(long window, String reason);
 }
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyPeer.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyPeer.java
@@ -7,4 +7,4 @@
  * @param present whether it was heard of late
  * @param word what it told last of duties
  */
-public record DutyPeer(String name, long incarnation, boolean present, DutyWord word) {}
+public record DutyPeer(String name, long incarnation, boolean alive, DutyAnnouncement announcement) {}
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageRecord.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyRecord.java
@@ -11,13 +11,13 @@
  * @param fixed counts that were fixed and may have been reported
  * @param tally what the holder had heard of windows that weren't fixed, when it saved that last
  */
-public record UsageRecord(
-        Optional<Holding> holding, List<String> holders, List<UsageCounts> fixed, List<UsageReport> tally) {
+public record DutyRecord(
+        Optional<Ownership> ownership, List<String> recentHolders, List<UsageCounts> committedCounts, List<UsageReport> savedReports) {
     /**
      * A holding as the store has it.
      *
      * @param claim the text that the claim wrote, different for each claim
      * @param token the store's revision of that write
      */
-    public record Holding(String claim, long token) {}
+    public record Ownership(String claim, long fencingToken) {}
 }
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyTerms.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutySettings.java
@@ -13,49 +13,49 @@
  * @param window length of a usage window
  * @param lateAfter when the report of a window is late, from the window's end
  */
-public record DutyTerms(
+public record DutySettings(
         String node,
-        Duration lease,
-        Duration rest,
-        boolean fenced,
-        Duration lateCalls,
-        Duration window,
-        Duration lateAfter) {
+        Duration leaseDuration,
+        Duration cooldown,
+        boolean fencingEnforced,
+        Duration maxCallDelay,
+        Duration windowLength,
+        Duration reportDeadline) {
     /** Windows that are kept in the store after they were reported: longer than any of them may still be reported. */
-    private static final Duration KEPT = Duration.ofMinutes(1);
+    private static final Duration RETENTION = Duration.ofMinutes(1);
 
     long leaseMillis() {
-        return lease.toMillis();
+        return leaseDuration.toMillis();
     }
 
-    long restMillis() {
-        return rest.toMillis();
+    long cooldownMillis() {
+        return cooldown.toMillis();
     }
 
-    long lateCallsMillis() {
-        return lateCalls.toMillis();
+    long maxCallDelayMillis() {
+        return maxCallDelay.toMillis();
     }
 
     long windowMillis() {
-        return window.toMillis();
+        return windowLength.toMillis();
     }
 
-    long lateMillis() {
-        return lateAfter.toMillis();
+    long reportDeadlineMillis() {
+        return reportDeadline.toMillis();
     }
 
     /** Returns the number of the window in which a moment of true time lies. */
-    long windowAt(long trueMillis) {
-        return Math.floorDiv(trueMillis, windowMillis());
+    long windowAt(long epochMillis) {
+        return Math.floorDiv(epochMillis, windowMillis());
     }
 
     /** Returns the moment of true time at which a window ends. */
-    long endOf(long window) {
+    long windowEndMillis(long window) {
         return (window + 1) * windowMillis();
     }
 
     /** Returns how many windows stay in the store behind the newest one. */
-    long windowsKept() {
-        return (KEPT.toMillis() + lateMillis()) / windowMillis() + 2;
+    long retainedWindows() {
+        return (RETENTION.toMillis() + reportDeadlineMillis()) / windowMillis() + 2;
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageDuty.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageDuty.java
@@ -31,10 +31,10 @@
     private static final long FIRST_BACKOFF_MILLIS = 300;
     private static final long LONGEST_BACKOFF_MILLIS = 3_000;
 
-    private final DutyTerms terms;
-    private final DutyClock clock;
-    private final TrueTime time;
-    private final DutyPort port;
+    private final DutySettings terms;
+    private final NodeClock clock;
+    private final MedianClock time;
+    private final DutyClient port;
     private final RandomGenerator random;
     private final DutyListener listener;
     private final UsageCounter counter;
@@ -61,10 +61,10 @@
     private record Coverage(int heard, int known) {}
 
     private UsageDuty(
-            DutyTerms terms,
-            DutyClock clock,
-            TrueTime time,
-            DutyPort port,
+            DutySettings terms,
+            NodeClock clock,
+            MedianClock time,
+            DutyClient port,
             RandomGenerator random,
             DutyListener listener,
             UsageCounter counter,
@@ -82,10 +82,10 @@
 
     /** Returns the duty of a node that has just started; {@code counter} is its own. */
     public static UsageDuty of(
-            DutyTerms terms,
-            DutyClock clock,
-            TrueTime time,
-            DutyPort port,
+            DutySettings terms,
+            NodeClock clock,
+            MedianClock time,
+            DutyClient port,
             RandomGenerator random,
             DutyListener listener,
             UsageCounter counter,
@@ -119,7 +119,7 @@
         if (!holding.holds()) {
             return;
         }
-        tally.take(counter.report(false));
+        tally.take(counter.snapshot(false));
         fixDue(others);
         reportDue();
         saveDue();
@@ -140,18 +140,18 @@
 
     /** Gives the duty back with what was heard: the process stops. */
     public void stop() {
-        tally.take(counter.report(false));
+        tally.take(counter.snapshot(false));
         holding.stop(tally.saved());
     }
 
-    private void takeOver(UsageRecord found) {
-        found.fixed().forEach(counts -> {
+    private void takeOver(DutyRecord found) {
+        found.committedCounts().forEach(counts -> {
             tally.fixed(counts.window());
-            if (time.millis() < terms.endOf(counts.window()) + 2 * terms.lateMillis()) {
+            if (time.epochMillis() < terms.windowEndMillis(counts.window()) + 2 * terms.reportDeadlineMillis()) {
                 unreported.put(counts.window(), counts);
             }
         });
-        tally.takeAll(found.tally());
+        tally.takeAll(found.savedReports());
         heldSince = clock.steadyMillis();
         nextSave = heldSince + SAVE_MILLIS;
     }
@@ -173,13 +173,13 @@
             return;
         }
         if (fixing == null) {
-            long now = time.millis();
+            long now = time.epochMillis();
             skipLate(now);
             long window = tally.fixedThrough() + 1;
             if (window >= terms.windowAt(now) || !ready(window, now, others)) {
                 return;
             }
-            if (!tally.anyBefore(terms.endOf(window))) {
+            if (!tally.anyBefore(terms.windowEndMillis(window))) {
                 tally.fixed(window);
                 return;
             }
@@ -191,29 +191,29 @@
 
     /** Windows whose report would be late are not reported any more. */
     private void skipLate(long now) {
-        long oldest = terms.windowAt(now - terms.lateMillis());
+        long oldest = terms.windowAt(now - terms.reportDeadlineMillis());
         long first = tally.fixedThrough() + 1;
         if (first >= oldest) {
             return;
         }
-        for (long window = Math.max(first, oldest - terms.windowsKept()); window < oldest; window++) {
-            if (tally.anyBefore(terms.endOf(window))) {
-                listener.missed(window, "was not fixed in time");
+        for (long window = Math.max(first, oldest - terms.retainedWindows()); window < oldest; window++) {
+            if (tally.anyBefore(terms.windowEndMillis(window))) {
+                listener.windowMissed(window, "was not fixed in time");
             }
         }
         tally.fixed(oldest - 1);
     }
 
     private boolean ready(long window, long now, List<DutyPeer> others) {
-        long end = terms.endOf(window);
+        long end = terms.windowEndMillis(window);
         boolean patienceEnds =
-                now >= end + terms.lateMillis() / PATIENCE && clock.steadyMillis() >= heldSince + HEAR_MILLIS;
+                now >= end + terms.reportDeadlineMillis() / PATIENCE && clock.steadyMillis() >= heldSince + HEAR_MILLIS;
         return now >= end + SETTLE_MILLIS && (patienceEnds || complete(window, others) > others.size());
     }
 
     /** Returns how many nodes, this one among them, have told all that they counted in a window. */
     private int complete(long window, List<DutyPeer> others) {
-        long end = terms.endOf(window);
+        long end = terms.windowEndMillis(window);
         return 1
                 + (int) others.stream()
                         .filter(peer -> tally.complete(peer.name(), peer.incarnation(), end))
@@ -223,30 +223,30 @@
     private void fix(UsageCounts counts) {
         fixInFlight = true;
         long asked = term;
-        long forget = counts.window() - terms.windowsKept();
-        port.fix(holding.token(), counts, forget, reply -> {
+        long forget = counts.window() - terms.retainedWindows();
+        port.commitUsage(holding.token(), counts, forget, reply -> {
             if (asked != term) {
                 return;
             }
             fixInFlight = false;
             switch (reply) {
-                case DutyReply.Answered<DutyPort.Fixed>(DutyPort.Fixed.Now now) -> fixed(counts);
-                case DutyReply.Answered<DutyPort.Fixed>(DutyPort.Fixed.Before(UsageCounts before)) -> fixed(before);
-                case DutyReply.Answered<DutyPort.Fixed>(DutyPort.Fixed.NotHolder not) ->
+                case CallOutcome.Completed<DutyClient.CommitResult>(DutyClient.CommitResult.Committed now) -> fixed(counts);
+                case CallOutcome.Completed<DutyClient.CommitResult>(DutyClient.CommitResult.AlreadyCommitted(UsageCounts before)) -> fixed(before);
+                case CallOutcome.Completed<DutyClient.CommitResult>(DutyClient.CommitResult.NotHolder not) ->
                     holding.lose("its key has gone");
-                case DutyReply.Unknown<DutyPort.Fixed> unknown ->
+                case CallOutcome.Unknown<DutyClient.CommitResult> unknown ->
                     nextFix = clock.steadyMillis() + FIRST_BACKOFF_MILLIS + random.nextLong(FIRST_BACKOFF_MILLIS);
             }
         });
     }
 
     private void fixed(UsageCounts counts) {
-        listener.fixed(holding.token(), counts, coverage.heard(), coverage.known());
+        listener.usageCommitted(holding.token(), counts, coverage.heard(), coverage.known());
         fixing = null;
         tally.fixed(counts.window());
-        tally.trim(time.millis() - 2 * terms.lateMillis());
+        tally.trim(time.epochMillis() - 2 * terms.reportDeadlineMillis());
         unreported.put(counts.window(), counts);
-        counter.drop(counts.window());
+        counter.dropThrough(counts.window());
         reportDue();
     }
 
@@ -261,8 +261,8 @@
         long asked = term;
         long token = holding.token();
         long sentAt = clock.steadyMillis();
-        port.report(token, counts, reply -> {
-            if (reply instanceof DutyReply.Unknown) {
+        port.reportUsage(token, counts, reply -> {
+            if (reply instanceof CallOutcome.Unknown) {
                 holding.unanswered(sentAt);
             }
             if (asked != term) {
@@ -270,28 +270,28 @@
             }
             reportInFlight = false;
             String outcome = switch (reply) {
-                case DutyReply.Answered<DutyPort.Reported>(DutyPort.Reported reported) -> reported.name();
-                case DutyReply.Unknown<DutyPort.Reported>(String why) -> why;
+                case CallOutcome.Completed<DutyClient.ReportResult>(DutyClient.ReportResult reported) -> reported.name();
+                case CallOutcome.Unknown<DutyClient.ReportResult>(String why) -> why;
             };
-            listener.reported(token, counts, outcome, holding.leaseLeftMillis());
+            listener.usageReported(token, counts, outcome, holding.leaseLeftMillis());
             answered(counts, reply);
         });
     }
 
-    private void answered(UsageCounts counts, DutyReply<DutyPort.Reported> reply) {
+    private void answered(UsageCounts counts, CallOutcome<DutyClient.ReportResult> reply) {
         switch (reply) {
-            case DutyReply.Answered<DutyPort.Reported>(DutyPort.Reported reported) -> {
+            case CallOutcome.Completed<DutyClient.ReportResult>(DutyClient.ReportResult reported) -> {
                 switch (reported) {
                     case ACCEPTED -> settled(counts);
                     case FENCED -> holding.lose("a higher token was seen");
                     case LATER -> backOff();
                     case REFUSED -> {
-                        listener.missed(counts.window(), "the platform doesn't accept the report");
+                        listener.windowMissed(counts.window(), "the platform doesn't accept the report");
                         settled(counts);
                     }
                 }
             }
-            case DutyReply.Unknown<DutyPort.Reported> unknown -> backOff();
+            case CallOutcome.Unknown<DutyClient.ReportResult> unknown -> backOff();
         }
     }
 
@@ -316,12 +316,12 @@
         saveInFlight = true;
         nextSave = now + SAVE_MILLIS;
         long asked = term;
-        port.save(holding.token(), tally.saved(), reply -> {
+        port.saveReports(holding.token(), tally.saved(), reply -> {
             if (asked != term) {
                 return;
             }
             saveInFlight = false;
-            if (reply instanceof DutyReply.Answered<Boolean>(Boolean stands) && !stands) {
+            if (reply instanceof CallOutcome.Completed<Boolean>(Boolean stands) && !stands) {
                 holding.lose("its key has gone");
             }
         });
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageTeller.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageTeller.java
@@ -19,9 +19,9 @@
 
     private static final long RETRY_MILLIS = 200;
 
-    private final DutyTerms terms;
-    private final DutyClock clock;
-    private final TrueTime time;
+    private final DutySettings terms;
+    private final NodeClock clock;
+    private final MedianClock time;
     private final RandomGenerator random;
     private final UsageCounter counter;
     private boolean inFlight;
@@ -33,7 +33,7 @@
     private boolean toldLast;
     private long spread;
 
-    private UsageTeller(DutyTerms terms, DutyClock clock, TrueTime time, RandomGenerator random, UsageCounter counter) {
+    private UsageTeller(DutySettings terms, NodeClock clock, MedianClock time, RandomGenerator random, UsageCounter counter) {
         this.terms = terms;
         this.clock = clock;
         this.time = time;
@@ -43,15 +43,15 @@
 
     /** Returns a teller of a node that has told nothing yet. */
     public static UsageTeller of(
-            DutyTerms terms, DutyClock clock, TrueTime time, RandomGenerator random, UsageCounter counter) {
+            DutySettings terms, NodeClock clock, MedianClock time, RandomGenerator random, UsageCounter counter) {
         return new UsageTeller(terms, clock, time, random, counter);
     }
 
     /** Returns the node that seems to hold the duty. */
     public static Optional<DutyPeer> holder(List<DutyPeer> others) {
         return others.stream()
-                .filter(peer -> peer.present() && peer.word().token() > 0)
-                .max(Comparator.comparingLong(peer -> peer.word().token()));
+                .filter(peer -> peer.alive() && peer.announcement().fencingToken() > 0)
+                .max(Comparator.comparingLong(peer -> peer.announcement().fencingToken()));
     }
 
     /**
@@ -61,23 +61,23 @@
      */
     public Optional<UsageReport> due(DutyPeer holder, int nodes, boolean last) {
         long now = clock.steadyMillis();
-        if (inFlight || now < nextTry || !due(holder.word().token(), now, nodes, last)) {
+        if (inFlight || now < nextTry || !due(holder.announcement().fencingToken(), now, nodes, last)) {
             return Optional.empty();
         }
         inFlight = true;
         spread = random.nextLong(SPREAD_MILLIS);
-        return Optional.of(counter.report(last));
+        return Optional.of(counter.snapshot(last));
     }
 
     private boolean due(long token, long now, int nodes, boolean last) {
         if (token != toldTo || (last && !toldLast)) {
             return true;
         }
-        long window = terms.windowAt(time.millis() - spread);
+        long window = terms.windowAt(time.epochMillis() - spread);
         if (window > terms.windowAt(toldUntil)) {
             return true;
         }
-        return counter.counted() != toldCount && now - toldAt >= Math.max(LEAST_MILLIS, MILLIS_A_NODE * nodes);
+        return counter.startedRequests() != toldCount && now - toldAt >= Math.max(LEAST_MILLIS, MILLIS_A_NODE * nodes);
     }
 
     /** The holder of a token has taken a report. */
@@ -88,7 +88,7 @@
         toldUntil = report.asOfMillis();
         toldCount = countedThen;
         toldLast = report.last();
-        counter.drop(fixedThrough);
+        counter.dropThrough(fixedThrough);
     }
 
     /** The holder couldn't be told. */
@@ -104,6 +104,6 @@
 
     /** Returns how many requests were counted, to be given back once a report was taken. */
     public long counted() {
-        return counter.counted();
+        return counter.startedRequests();
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/RouteKind.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/RouteKind.java
@@ -6,6 +6,6 @@
     SAFE,
     /** Not idempotent: may begin once at the most. */
     UNSAFE,
-    /** Answered by a series of numbered events; repeated only if the route says that it can be resumed. */
+    /** Completed by a series of numbered events; repeated only if the route says that it can be resumed. */
     STREAM
 }
--- a/core/src/test/java/org/tanagerhinge/core/duty/TrueTimeTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/duty/TrueTimeTest.java
@@ -11,7 +11,7 @@
 class TrueTimeTest {
     private static final long TRUE = 1_700_000_000_000L;
 
-    private static final class Clock implements DutyClock {
+    private static final class Clock implements NodeClock {
         private long steady = 5_000;
         private long timeOfDay = TRUE;
 
@@ -21,7 +21,7 @@
         }
 
         @Override
-        public long timeOfDayMillis() {
+        public long wallClockMillis() {
             return timeOfDay;
         }
     }
@@ -32,24 +32,24 @@
     void clocksThatAreSteppedAreOutvoted(long ownStep, long peersStep) {
         Clock clock = new Clock();
         clock.timeOfDay = TRUE + ownStep;
-        TrueTime time = TrueTime.of(clock);
-        time.heard("a", TRUE + peersStep);
-        time.heard("b", TRUE);
-        time.heard("c", TRUE);
-        time.heard("d", TRUE);
-        assertEquals(TRUE, time.millis());
+        MedianClock time = MedianClock.of(clock);
+        time.recordPeerTime("a", TRUE + peersStep);
+        time.recordPeerTime("b", TRUE);
+        time.recordPeerTime("c", TRUE);
+        time.recordPeerTime("d", TRUE);
+        assertEquals(TRUE, time.epochMillis());
         clock.steady += 700;
         clock.timeOfDay += 700;
-        assertEquals(TRUE + 700, time.millis());
+        assertEquals(TRUE + 700, time.epochMillis());
     }
 
     @Test
     void aNodeAloneGoesByItsOwnClock() {
         Clock clock = new Clock();
-        TrueTime time = TrueTime.of(clock);
-        time.heard("a", TRUE + 9_000);
-        time.heard("b", TRUE + 9_000);
-        time.retain(Set.of());
-        assertEquals(TRUE, time.millis());
+        MedianClock time = MedianClock.of(clock);
+        time.recordPeerTime("a", TRUE + 9_000);
+        time.recordPeerTime("b", TRUE + 9_000);
+        time.retainPeers(Set.of());
+        assertEquals(TRUE, time.epochMillis());
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Duties.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Duties.java
@@ -15,12 +15,12 @@
 import java.util.OptionalLong;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.random.RandomGenerator;
-import org.tanagerhinge.core.duty.DutyClock;
+import org.tanagerhinge.core.duty.NodeClock;
 import org.tanagerhinge.core.duty.DutyPeer;
-import org.tanagerhinge.core.duty.DutyPort;
-import org.tanagerhinge.core.duty.DutyTerms;
-import org.tanagerhinge.core.duty.DutyWord;
-import org.tanagerhinge.core.duty.TrueTime;
+import org.tanagerhinge.core.duty.DutyClient;
+import org.tanagerhinge.core.duty.DutySettings;
+import org.tanagerhinge.core.duty.DutyAnnouncement;
+import org.tanagerhinge.core.duty.MedianClock;
 import org.tanagerhinge.core.duty.UsageCounter;
 import org.tanagerhinge.core.duty.UsageDuty;
 import org.tanagerhinge.core.duty.UsageReport;
@@ -45,14 +45,14 @@
     private final Gateway gateway;
     private final EventLoopGroup loop;
     private final Peers peers;
-    private final DutyPort port;
+    private final DutyClient port;
     private final GatewayOptions.Duties options;
-    private final DutyClock clock;
-    private final TrueTime time;
+    private final NodeClock clock;
+    private final MedianClock time;
     private final DutyLog log;
     private final UsageCounter counter;
     private final UsageTeller teller;
-    private final Map<String, DutyWord> words = new HashMap<>();
+    private final Map<String, DutyAnnouncement> words = new HashMap<>();
     private UsageDuty duty;
     private JsonCaller caller;
     private String calling = "";
@@ -64,7 +64,7 @@
             Gateway gateway,
             EventLoopGroup loop,
             Peers peers,
-            DutyPort port,
+            DutyClient port,
             GatewayOptions.Duties options,
             InstantSource wallClock) {
         this.gateway = gateway;
@@ -73,21 +73,21 @@
         this.port = port;
         this.options = options;
         this.clock = new HostClock(gateway, wallClock);
-        this.time = TrueTime.of(clock);
+        this.time = MedianClock.of(clock);
         this.log = new DutyLog(gateway);
         this.counter = UsageCounter.of(options.terms(), time, peers.incarnation());
         this.teller = UsageTeller.of(options.terms(), clock, time, ThreadLocalRandom.current(), counter);
     }
 
     /** The clocks of this host. */
-    private record HostClock(Gateway gateway, InstantSource wallClock) implements DutyClock {
+    private record HostClock(Gateway gateway, InstantSource wallClock) implements NodeClock {
         @Override
         public long steadyMillis() {
             return gateway.now();
         }
 
         @Override
-        public long timeOfDayMillis() {
+        public long wallClockMillis() {
             return wallClock.millis();
         }
     }
@@ -97,11 +97,11 @@
             Gateway gateway,
             EventLoopGroup loop,
             Peers peers,
-            DutyPort port,
+            DutyClient port,
             GatewayOptions.Duties options,
             InstantSource wallClock) {
         Duties duties = new Duties(gateway, loop, peers, port, options, wallClock);
-        gateway.onBegan(duties.counter::began);
+        gateway.onBegan(duties.counter::recordStart);
         peers.duties(duties::word, duties::heard);
         gateway.schedule(() -> gateway.repeat(duties::step, () -> STEP_MILLIS), START_MILLIS);
         return duties;
@@ -111,8 +111,8 @@
         return log.coverage();
     }
 
-    private DutyWord word() {
-        return new DutyWord(clock.timeOfDayMillis(), duty == null ? 0 : duty.preference(hostPower()), token());
+    private DutyAnnouncement word() {
+        return new DutyAnnouncement(clock.wallClockMillis(), duty == null ? 0 : duty.preference(hostPower()), token());
     }
 
     private int hostPower() {
@@ -123,10 +123,10 @@
         return duty == null ? 0 : duty.token();
     }
 
-    private void heard(String peer, DutyWord word) {
+    private void heard(String peer, DutyAnnouncement word) {
         words.put(peer, word);
-        if (word.timeOfDayMillis() > 0) {
-            time.heard(peer, word.timeOfDayMillis());
+        if (word.wallClockMillis() > 0) {
+            time.recordPeerTime(peer, word.wallClockMillis());
         }
     }
 
@@ -139,7 +139,7 @@
                     name,
                     peer.report().incarnation(),
                     PeerTable.present(peer, now),
-                    words.getOrDefault(name, DutyWord.NONE)));
+                    words.getOrDefault(name, DutyAnnouncement.NONE)));
         }
         return others;
     }
@@ -148,7 +148,7 @@
         List<DutyPeer> others = others();
         if (words.size() > others.size()) {
             words.keySet().retainAll(others.stream().map(DutyPeer::name).toList());
-            time.retain(words.keySet());
+            time.retainPeers(words.keySet());
         }
         if (duty == null) {
             duty = duty();
@@ -165,7 +165,7 @@
     }
 
     private UsageDuty duty() {
-        DutyTerms terms = options.terms();
+        DutySettings terms = options.terms();
         RandomGenerator random = ThreadLocalRandom.current();
         return UsageDuty.of(terms, clock, time, port, random, log, counter, peers.incarnation());
     }
@@ -202,7 +202,7 @@
             }
             try {
                 long fixedThrough = UsageCodec.fixedThrough(answer.body());
-                teller.taken(holder.word().token(), report, counted, fixedThrough);
+                teller.taken(holder.announcement().fencingToken(), report, counted, fixedThrough);
             } catch (InvalidProtocolBufferException e) {
                 LOG.log(Level.ERROR, "answer of peer " + holder.name() + ": " + e.getMessage());
                 teller.failed();
@@ -261,7 +261,7 @@
     private void lastWord(List<DutyPeer> others) {
         long now = gateway.now();
         drainedAt = done() ? Math.min(drainedAt, now) : Long.MAX_VALUE;
-        boolean alone = others.stream().noneMatch(DutyPeer::present);
+        boolean alone = others.stream().noneMatch(DutyPeer::alive);
         boolean patienceEnds = drainedAt != Long.MAX_VALUE && now - drainedAt >= LAST_WORD_MILLIS;
         settled = alone || teller.toldLast() || patienceEnds;
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/DutyLog.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/DutyLog.java
@@ -1,7 +1,7 @@
 package org.tanagerhinge.gateway;
 
 import org.tanagerhinge.core.duty.DutyListener;
-import org.tanagerhinge.core.duty.DutyPort;
+import org.tanagerhinge.core.duty.DutyClient;
 import org.tanagerhinge.core.duty.UsageCounts;
 import org.tanagerhinge.node.log.LogEvent;
 import org.tanagerhinge.node.log.LogField;
@@ -22,13 +22,13 @@
     }
 
     @Override
-    public void held(long token) {
+    public void dutyAcquired(long token) {
         gateway.count("duty_held");
         LogLine.of(LogEvent.DUTY_HELD).with(LogField.TOKEN, token).write();
     }
 
     @Override
-    public void lost(long token, String why) {
+    public void dutyLost(long token, String why) {
         gateway.count("duty_lost");
         LogLine.failure(LogEvent.DUTY_LOST)
                 .with(LogField.TOKEN, token)
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void fixed(long token, UsageCounts counts, int heard, int known) {
+    public void usageCommitted(long token, UsageCounts counts, int heard, int known) {
         coverage = (double) heard / known;
         gateway.count(heard < known ? "usage_fixed_without_all" : "usage_fixed");
         LogLine.of(LogEvent.USAGE_FIXED, heard < known)
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public void reported(long token, UsageCounts counts, String outcome, long leaseLeftMillis) {
-        boolean accepted = outcome.equals(DutyPort.Reported.ACCEPTED.name());
+    public void usageReported(long token, UsageCounts counts, String outcome, long leaseLeftMillis) {
+        boolean accepted = outcome.equals(DutyClient.ReportResult.ACCEPTED.name());
         gateway.count(accepted ? "usage_reported" : "usage_report_failed");
         LogLine.of(LogEvent.USAGE_REPORTED, !accepted)
                 .with(LogField.WINDOW, counts.window())
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public void missed(long window, String why) {
+    public void windowMissed(long window, String why) {
         gateway.count("usage_missed");
         LogLine.failure(LogEvent.USAGE_MISSED)
                 .with(LogField.WINDOW, window)
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
@@ -23,7 +23,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import org.tanagerhinge.core.duty.DutyPort;
+import org.tanagerhinge.core.duty.DutyClient;
 import org.tanagerhinge.core.relay.PlacementPolicy;
 import org.tanagerhinge.core.relay.RelayConfig;
 import org.tanagerhinge.node.daemon.Daemon;
@@ -76,7 +76,7 @@
             Dialect dialect,
             PlacementPolicy placement,
             Function<EventLoopGroup, MetadataStore> store,
-            Function<EventLoopGroup, DutyPort> dutyCalls,
+            Function<EventLoopGroup, DutyClient> dutyCalls,
             Optional<ServerSocketChannel> early) {
         EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         NodeMetrics metrics = NodeMetrics.create();
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayOptions.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.Set;
-import org.tanagerhinge.core.duty.DutyTerms;
+import org.tanagerhinge.core.duty.DutySettings;
 import org.tanagerhinge.core.relay.Mechanism;
 
 /**
@@ -40,7 +40,7 @@
      *
      * @param power how well this node could bear one, greater is better
      */
-    public record Duties(DutyTerms terms, int power) {}
+    public record Duties(DutySettings terms, int power) {}
 
     /**
      * Bounds within which the platform wants things done.
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.tanagerhinge.core.attempt.Quarantine;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
-import org.tanagerhinge.core.duty.DutyWord;
+import org.tanagerhinge.core.duty.DutyAnnouncement;
 import org.tanagerhinge.core.relay.LaneDemand;
 import org.tanagerhinge.core.relay.PeerReport;
 import org.tanagerhinge.core.relay.PromptPart;
@@ -44,7 +44,7 @@
             List<Kept> kept,
             List<Quarantine.Suspicion> suspicions,
             List<String> leaving,
-            DutyWord duty) {}
+            DutyAnnouncement duty) {}
 
     /** A server list with its age in milliseconds. */
     record Servers(List<ServerRegistration> list, long ageMillis) {}
@@ -81,9 +81,9 @@
         }
         told.suspicions().forEach(suspicion -> state.addSuspected(suspected(suspicion)));
         state.addAllLeaving(told.leaving());
-        state.setTimeOfDayMillis(told.duty().timeOfDayMillis())
-                .setPower(told.duty().power())
-                .setUsageToken(told.duty().token());
+        state.setTimeOfDayMillis(told.duty().wallClockMillis())
+                .setPower(told.duty().preference())
+                .setUsageToken(told.duty().fencingToken());
         return state.build().toByteArray();
     }
 
@@ -121,7 +121,7 @@
                 demands);
         List<Quarantine.Suspicion> suspicions =
                 state.getSuspectedList().stream().map(PeerCodec::suspicion).toList();
-        DutyWord duty = new DutyWord(state.getTimeOfDayMillis(), state.getPower(), state.getUsageToken());
+        DutyAnnouncement duty = new DutyAnnouncement(state.getTimeOfDayMillis(), state.getPower(), state.getUsageToken());
         return new Told(report, kept, suspicions, List.copyOf(state.getLeavingList()), duty);
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Peers.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Peers.java
@@ -25,7 +25,7 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import org.tanagerhinge.core.attempt.Quarantine;
-import org.tanagerhinge.core.duty.DutyWord;
+import org.tanagerhinge.core.duty.DutyAnnouncement;
 import org.tanagerhinge.core.relay.Mechanism;
 import org.tanagerhinge.core.relay.PeerLoadUpdater;
 import org.tanagerhinge.core.relay.PeerReport;
@@ -62,8 +62,8 @@
     private Set<String> present = Set.of();
     private BooleanSupplier storeAnswers = () -> true;
     private Runnable behindListener = () -> {};
-    private Supplier<DutyWord> dutyWord = () -> DutyWord.NONE;
-    private BiConsumer<String, DutyWord> dutyListener = (peer, word) -> {};
+    private Supplier<DutyAnnouncement> dutyWord = () -> DutyAnnouncement.NONE;
+    private BiConsumer<String, DutyAnnouncement> dutyListener = (peer, word) -> {};
     private long sequence;
     private long tokensSince;
     private long toldAt;
@@ -116,7 +116,7 @@
     }
 
     /** Tells {@code word} of duties with each report, and {@code listener} what each peer tells of them. */
-    void duties(Supplier<DutyWord> word, BiConsumer<String, DutyWord> listener) {
+    void duties(Supplier<DutyAnnouncement> word, BiConsumer<String, DutyAnnouncement> listener) {
         dutyWord = word;
         dutyListener = listener;
     }
--- a/gateway/src/test/java/org/tanagerhinge/gateway/LoopsTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/LoopsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
-import org.tanagerhinge.core.duty.DutyPort;
+import org.tanagerhinge.core.duty.DutyClient;
 import org.tanagerhinge.core.relay.CallerLimits;
 import org.tanagerhinge.core.relay.LeastInFlightPlacement;
 import org.tanagerhinge.core.relay.Prompt;
@@ -159,7 +159,7 @@
                 new GatewayOptions.Bounds(Duration.ofSeconds(1), 0.2, 50, Duration.ofSeconds(10)),
                 Optional.empty(),
                 Set.of());
-        Function<EventLoopGroup, DutyPort> noDuties = loop -> {
+        Function<EventLoopGroup, DutyClient> noDuties = loop -> {
             throw new IllegalStateException("no duties");
         };
         return GatewayDaemon.start(
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
@@ -12,18 +12,18 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.tanagerhinge.core.duty.DutyClock;
+import org.tanagerhinge.core.duty.NodeClock;
 import org.tanagerhinge.core.duty.DutyListener;
 import org.tanagerhinge.core.duty.DutyPeer;
-import org.tanagerhinge.core.duty.DutyPort;
-import org.tanagerhinge.core.duty.DutyReply;
-import org.tanagerhinge.core.duty.DutyTerms;
-import org.tanagerhinge.core.duty.DutyWord;
-import org.tanagerhinge.core.duty.TrueTime;
+import org.tanagerhinge.core.duty.DutyClient;
+import org.tanagerhinge.core.duty.CallOutcome;
+import org.tanagerhinge.core.duty.DutySettings;
+import org.tanagerhinge.core.duty.DutyAnnouncement;
+import org.tanagerhinge.core.duty.MedianClock;
 import org.tanagerhinge.core.duty.UsageCounter;
 import org.tanagerhinge.core.duty.UsageCounts;
 import org.tanagerhinge.core.duty.UsageDuty;
-import org.tanagerhinge.core.duty.UsageRecord;
+import org.tanagerhinge.core.duty.DutyRecord;
 import org.tanagerhinge.core.duty.UsageReport;
 import org.tanagerhinge.core.duty.UsageTeller;
 
@@ -54,12 +54,12 @@
     long clockStep;
     private final List<Runnable> onThaw = new ArrayList<>();
 
-    private TrueTime time;
+    private MedianClock time;
     private UsageCounter counter;
     private UsageDuty duty;
     private UsageTeller teller;
 
-    private record Heard(long incarnation, DutyWord word, long at) {}
+    private record Heard(long incarnation, DutyAnnouncement word, long at) {}
 
     DutyNode(DutyRun run, String name, int power, TreeMap<Long, Map<String, Long>> truth) {
         this.run = run;
@@ -68,7 +68,7 @@
         this.truth = truth;
     }
 
-    private final DutyClock clock = new DutyClock() {
+    private final NodeClock clock = new NodeClock() {
         @Override
         public long steadyMillis() {
             return run.bug == DeliberateBug.LEASE_BY_TIME_OF_DAY
@@ -77,7 +77,7 @@
         }
 
         @Override
-        public long timeOfDayMillis() {
+        public long wallClockMillis() {
             return run.bug == DeliberateBug.BLIND_TO_SUSPENSION
                     ? DutyRun.EPOCH + steadyMillis()
                     : run.trueMillis() + clockStep;
@@ -96,7 +96,7 @@
         Duration lease = Duration.ofMillis(DutyRun.LEASE_MILLIS);
         boolean noRest = run.bug == DeliberateBug.RETAKE_AT_ONCE;
         boolean noWait = run.bug == DeliberateBug.NO_WAIT_WITHOUT_FENCE;
-        DutyTerms terms = new DutyTerms(
+        DutySettings terms = new DutySettings(
                 name,
                 lease,
                 noRest ? Duration.ZERO : lease,
@@ -104,7 +104,7 @@
                 noRest || noWait ? Duration.ZERO : LATE_CALLS,
                 Duration.ofMillis(DutyRun.WINDOW_MILLIS),
                 Duration.ofMillis(DutyRun.LATE_MILLIS));
-        time = TrueTime.of(clock);
+        time = MedianClock.of(clock);
         counter = UsageCounter.of(terms, time, incarnation);
         duty = UsageDuty.of(terms, clock, time, new Port(), run.random, new Notes(), counter, incarnation);
         teller = UsageTeller.of(terms, clock, time, run.random, counter);
@@ -186,7 +186,7 @@
     private void serve() {
         if (!ending && run.chance(0.5)) {
             String workspace = "w" + run.between(0, 4);
-            counter.began(workspace);
+            counter.recordStart(workspace);
             truth.computeIfAbsent(Math.floorDiv(run.trueMillis(), DutyRun.WINDOW_MILLIS), window -> new TreeMap<>())
                     .merge(workspace, 1L, Long::sum);
         }
@@ -227,7 +227,7 @@
                 20,
                 () -> whenAwake(life, () -> {
                     if (answer[0].isPresent() && to.reaches(this)) {
-                        teller.taken(holder.word().token(), report, counted, answer[0].getAsLong());
+                        teller.taken(holder.announcement().fencingToken(), report, counted, answer[0].getAsLong());
                     } else {
                         teller.failed();
                     }
@@ -239,8 +239,8 @@
     }
 
     private void tellPeers() {
-        DutyWord word = new DutyWord(
-                clock.timeOfDayMillis(), duty.preference(stopping || turnedAway() ? 0 : power), duty.token());
+        DutyAnnouncement word = new DutyAnnouncement(
+                clock.wallClockMillis(), duty.preference(stopping || turnedAway() ? 0 : power), duty.token());
         for (DutyNode peer : run.nodes) {
             if (peer != this && peer.alive && reaches(peer) && !run.chance(0.01)) {
                 long told = incarnation;
@@ -249,7 +249,7 @@
                         run.between(1, 10),
                         () -> peer.whenAwake(life, () -> {
                             peer.peers.put(name, new Heard(told, word, peer.clock.steadyMillis()));
-                            peer.time.heard(name, word.timeOfDayMillis());
+                            peer.time.recordPeerTime(name, word.wallClockMillis());
                         }));
             }
         }
@@ -261,24 +261,24 @@
 
     // ---- its calls
 
-    private final class Port implements DutyPort {
+    private final class Port implements DutyClient {
         /** Returns what takes the answer of a call that is made now: the first one, or none if its time is up before. */
-        private <T> Consumer<DutyReply<T>> onceInTime(Consumer<DutyReply<T>> done) {
+        private <T> Consumer<CallOutcome<T>> onceInTime(Consumer<CallOutcome<T>> done) {
             long life = incarnation;
             boolean[] over = {false};
-            Consumer<DutyReply<T>> once = reply -> whenAwake(life, () -> {
+            Consumer<CallOutcome<T>> once = reply -> whenAwake(life, () -> {
                 if (!over[0]) {
                     over[0] = true;
                     done.accept(reply);
                 }
             });
-            run.after(TIMEOUT_MILLIS, () -> once.accept(new DutyReply.Unknown<>("no answer in time")));
+            run.after(TIMEOUT_MILLIS, () -> once.accept(new CallOutcome.Unknown<>("no answer in time")));
             return once;
         }
 
         /** Makes a call of the store: it may be lost on either way, or be carried out late. */
-        private <T> void call(Supplier<T> work, Consumer<DutyReply<T>> done) {
-            Consumer<DutyReply<T>> once = onceInTime(done);
+        private <T> void call(Supplier<T> work, Consumer<CallOutcome<T>> done) {
+            Consumer<CallOutcome<T>> once = onceInTime(done);
             DutyStoreModel store = run.store;
             if (store.down || turnedAway()) {
                 return;
@@ -292,28 +292,28 @@
                 }
                 T result = work.get();
                 if (!lost) {
-                    run.after(run.between(1, 6), () -> once.accept(new DutyReply.Answered<>(result)));
+                    run.after(run.between(1, 6), () -> once.accept(new CallOutcome.Completed<>(result)));
                 }
             });
         }
 
         @Override
-        public void lease(long timeMillis, Consumer<DutyReply<Long>> done) {
+        public void grantLease(long timeMillis, Consumer<CallOutcome<Long>> done) {
             call(() -> run.store.lease(timeMillis), done);
         }
 
         @Override
-        public void claim(String claim, long lease, List<String> holders, Consumer<DutyReply<Boolean>> done) {
+        public void claim(String claim, long lease, List<String> holders, Consumer<CallOutcome<Boolean>> done) {
             call(() -> run.store.claim(claim, lease, holders), done);
         }
 
         @Override
-        public void renew(long lease, Consumer<DutyReply<Boolean>> done) {
+        public void renewLease(long lease, Consumer<CallOutcome<Boolean>> done) {
             call(() -> run.store.renew(lease, DutyRun.LEASE_MILLIS), done);
         }
 
         @Override
-        public void endLease(long lease) {
+        public void revokeLease(long lease) {
             call(
                     () -> {
                         run.store.endLease(lease);
@@ -323,26 +323,26 @@
         }
 
         @Override
-        public void read(Consumer<DutyReply<UsageRecord>> done) {
+        public void readRecord(Consumer<CallOutcome<DutyRecord>> done) {
             call(run.store::read, done);
         }
 
         @Override
-        public void fix(long token, UsageCounts counts, long forget, Consumer<DutyReply<Fixed>> done) {
+        public void commitUsage(long token, UsageCounts counts, long forget, Consumer<CallOutcome<CommitResult>> done) {
             if (run.bug == DeliberateBug.NO_FREEZE_OF_COUNTS) {
-                call(Fixed.Now::new, done);
+                call(CommitResult.Committed::new, done);
                 return;
             }
-            Function<UsageCounts, Fixed> before = Fixed.Before::new;
+            Function<UsageCounts, CommitResult> before = CommitResult.AlreadyCommitted::new;
             call(
                     () -> run.store.stands(token)
-                            ? run.store.fix(counts, forget).map(before).orElseGet(Fixed.Now::new)
-                            : new Fixed.NotHolder(),
+                            ? run.store.fix(counts, forget).map(before).orElseGet(CommitResult.Committed::new)
+                            : new CommitResult.NotHolder(),
                     done);
         }
 
         @Override
-        public void save(long token, List<UsageReport> tally, Consumer<DutyReply<Boolean>> done) {
+        public void saveReports(long token, List<UsageReport> tally, Consumer<CallOutcome<Boolean>> done) {
             call(
                     () -> {
                         boolean stands = run.store.stands(token);
@@ -368,12 +368,12 @@
         }
 
         @Override
-        public void report(long token, UsageCounts counts, Consumer<DutyReply<Reported>> done) {
+        public void reportUsage(long token, UsageCounts counts, Consumer<CallOutcome<ReportResult>> done) {
             long sent = run.bug == DeliberateBug.NO_FENCE ? 1 : token;
             if (!run.store.stands(token)) {
                 run.fail(name + " reports with token " + token + " though its lease has ended");
             }
-            Consumer<DutyReply<Reported>> once = onceInTime(done);
+            Consumer<CallOutcome<ReportResult>> once = onceInTime(done);
             UsageAddressModel address = run.address;
             if (address.down || address.cutOff.contains(name)) {
                 return;
@@ -384,9 +384,9 @@
             }
             boolean lost = run.chance(address.unansweredShare);
             run.after(run.between(1, 10), () -> {
-                Reported reported = address.report(name, sent, counts);
+                ReportResult reported = address.report(name, sent, counts);
                 if (!lost) {
-                    run.after(run.between(1, 10), () -> once.accept(new DutyReply.Answered<>(reported)));
+                    run.after(run.between(1, 10), () -> once.accept(new CallOutcome.Completed<>(reported)));
                 }
             });
         }
@@ -395,27 +395,27 @@
     /** What happens to the duty, in the run's log. */
     private final class Notes implements DutyListener {
         @Override
-        public void held(long token) {
+        public void dutyAcquired(long token) {
             run.note(name + " holds with token " + token);
         }
 
         @Override
-        public void lost(long token, String why) {
+        public void dutyLost(long token, String why) {
             run.note(name + " lost token " + token + ": " + why);
         }
 
         @Override
-        public void fixed(long token, UsageCounts counts, int heard, int known) {
+        public void usageCommitted(long token, UsageCounts counts, int heard, int known) {
             run.note(name + " fixed " + counts + ", heard " + heard + " of " + known);
         }
 
         @Override
-        public void reported(long token, UsageCounts counts, String outcome, long leaseLeftMillis) {
+        public void usageReported(long token, UsageCounts counts, String outcome, long leaseLeftMillis) {
             run.note(name + " reported window " + counts.window() + " with token " + token + ": " + outcome);
         }
 
         @Override
-        public void missed(long window, String why) {
+        public void windowMissed(long window, String why) {
             run.note(name + " missed window " + window + ": " + why);
         }
     }
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyStoreModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyStoreModel.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.tanagerhinge.core.duty.UsageCounts;
-import org.tanagerhinge.core.duty.UsageRecord;
+import org.tanagerhinge.core.duty.DutyRecord;
 import org.tanagerhinge.core.duty.UsageReport;
 
 /** The platform's store, as far as duties use it: one revision, leases, writes under conditions; and its faults. */
@@ -17,7 +17,7 @@
     private final DutyRun run;
     private final Map<Long, Long> leases = new HashMap<>();
     private final TreeMap<Long, UsageCounts> fixed = new TreeMap<>();
-    private Optional<UsageRecord.Holding> holding = Optional.empty();
+    private Optional<DutyRecord.Ownership> holding = Optional.empty();
     private long holdingLease;
     private List<String> holders = List.of();
     private List<UsageReport> tally = List.of();
@@ -73,20 +73,20 @@
         if (holding.isPresent() || !leases.containsKey(lease)) {
             return false;
         }
-        holding = Optional.of(new UsageRecord.Holding(claim, ++revision));
+        holding = Optional.of(new DutyRecord.Ownership(claim, ++revision));
         holdingLease = lease;
         holders = claimants;
         return true;
     }
 
-    UsageRecord read() {
+    DutyRecord read() {
         expire();
-        return new UsageRecord(holding, holders, new ArrayList<>(fixed.values()), tally);
+        return new DutyRecord(holding, holders, new ArrayList<>(fixed.values()), tally);
     }
 
     boolean stands(long token) {
         expire();
-        return holding.isPresent() && holding.get().token() == token;
+        return holding.isPresent() && holding.get().fencingToken() == token;
     }
 
     /** Returns the counts that were fixed before, if any were. */
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/UsageAddressModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/UsageAddressModel.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.tanagerhinge.core.duty.DutyPort;
+import org.tanagerhinge.core.duty.DutyClient;
 import org.tanagerhinge.core.duty.UsageCounts;
 
 /** The address that takes usage reports, with its faults, and the checks of what must hold there. */
@@ -31,7 +31,7 @@
     }
 
     /** A report arrives, or one that was left unanswered is carried out. */
-    DutyPort.Reported report(String node, long token, UsageCounts counts) {
+    DutyClient.ReportResult report(String node, long token, UsageCounts counts) {
         calls++;
         String owner = tokens.putIfAbsent(token, node);
         if (owner != null && !owner.equals(node)) {
@@ -47,10 +47,10 @@
         if (before != null && !before.equals(counts)) {
             run.fail("two counts for window " + counts.window() + ": " + before + " and " + counts);
         }
-        return DutyPort.Reported.ACCEPTED;
+        return DutyClient.ReportResult.ACCEPTED;
     }
 
-    private DutyPort.Reported olderToken(String node, long token) {
+    private DutyClient.ReportResult olderToken(String node, long token) {
         if (!run.fenced) {
             run.fail("token " + token + " of " + node + " after " + highest);
         }
@@ -59,7 +59,7 @@
         if (first != null && run.now() - first > DutyRun.LEASE_MILLIS + 12_000) {
             run.fail(node + " goes on with token " + token + " after it was refused");
         }
-        return DutyPort.Reported.FENCED;
+        return DutyClient.ReportResult.FENCED;
     }
 
     /** A, B, A within the time of a lease must not be. */
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayScene.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayScene.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import org.tanagerhinge.core.duty.DutyTerms;
+import org.tanagerhinge.core.duty.DutySettings;
 import org.tanagerhinge.core.relay.PromptAwarePlacement;
 import org.tanagerhinge.gateway.GatewayDaemon;
 import org.tanagerhinge.gateway.GatewayOptions;
@@ -54,8 +54,8 @@
 
     /** Starts a gateway that takes part in duties, and waits until it is ready. */
     GatewayDaemon gatewayWithDuties(String name, Duration lease, Duration window) throws IOException {
-        DutyTerms terms =
-                new DutyTerms(name, lease, lease, true, Duration.ofSeconds(13), window, window.multipliedBy(4));
+        DutySettings terms =
+                new DutySettings(name, lease, lease, true, Duration.ofSeconds(13), window, window.multipliedBy(4));
         GatewayDaemon gateway = start(name, store.address(), Optional.of(new GatewayOptions.Duties(terms, 100)));
         await(gateway::ready);
         return gateway;
