--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyClient.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyClient.java
@@ -33,7 +33,8 @@
      *
      * @param forget the newest window that may be removed from the store
      */
-    void commitUsage(long fencingToken, UsageCounts counts, long pruneThrough, Consumer<CallOutcome<CommitResult>> callback);
+    void commitUsage(
+            long fencingToken, UsageCounts counts, long pruneThrough, Consumer<CallOutcome<CommitResult>> callback);
 
     /** Saves what was heard of windows that aren't fixed, if the holding still stands; {@code done} gets whether it does. */
     void saveReports(long fencingToken, List<UsageReport> reports, Consumer<CallOutcome<Boolean>> callback);
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyRecord.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyRecord.java
@@ -12,7 +12,10 @@
  * @param tally what the holder had heard of windows that weren't fixed, when it saved that last
  */
 public record DutyRecord(
-        Optional<Ownership> ownership, List<String> recentHolders, List<UsageCounts> committedCounts, List<UsageReport> savedReports) {
+        Optional<Ownership> ownership,
+        List<String> recentHolders,
+        List<UsageCounts> committedCounts,
+        List<UsageReport> savedReports) {
     /**
      * A holding as the store has it.
      *
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageDuty.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageDuty.java
@@ -230,8 +230,10 @@
             }
             fixInFlight = false;
             switch (reply) {
-                case CallOutcome.Completed<DutyClient.CommitResult>(DutyClient.CommitResult.Committed now) -> fixed(counts);
-                case CallOutcome.Completed<DutyClient.CommitResult>(DutyClient.CommitResult.AlreadyCommitted(UsageCounts before)) -> fixed(before);
+                case CallOutcome.Completed<DutyClient.CommitResult>(DutyClient.CommitResult.Committed now) ->
+                    fixed(counts);
+                case CallOutcome.Completed<DutyClient.CommitResult>(
+                        DutyClient.CommitResult.AlreadyCommitted(UsageCounts before)) -> fixed(before);
                 case CallOutcome.Completed<DutyClient.CommitResult>(DutyClient.CommitResult.NotHolder not) ->
                     holding.lose("its key has gone");
                 case CallOutcome.Unknown<DutyClient.CommitResult> unknown ->
@@ -270,7 +272,8 @@
             }
             reportInFlight = false;
             String outcome = switch (reply) {
-                case CallOutcome.Completed<DutyClient.ReportResult>(DutyClient.ReportResult reported) -> reported.name();
+                case CallOutcome.Completed<DutyClient.ReportResult>(DutyClient.ReportResult reported) ->
+                    reported.name();
                 case CallOutcome.Unknown<DutyClient.ReportResult>(String why) -> why;
             };
             listener.usageReported(token, counts, outcome, holding.leaseLeftMillis());
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageTeller.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageTeller.java
@@ -33,7 +33,8 @@
     private boolean toldLast;
     private long spread;
 
-    private UsageTeller(DutySettings terms, NodeClock clock, MedianClock time, RandomGenerator random, UsageCounter counter) {
+    private UsageTeller(
+            DutySettings terms, NodeClock clock, MedianClock time, RandomGenerator random, UsageCounter counter) {
         this.terms = terms;
         this.clock = clock;
         this.time = time;
--- a/gateway/src/main/java/org/tanagerhinge/gateway/DutyLog.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/DutyLog.java
@@ -1,7 +1,7 @@
 package org.tanagerhinge.gateway;
 
-import org.tanagerhinge.core.duty.DutyListener;
 import org.tanagerhinge.core.duty.DutyClient;
+import org.tanagerhinge.core.duty.DutyListener;
 import org.tanagerhinge.core.duty.UsageCounts;
 import org.tanagerhinge.node.log.LogEvent;
 import org.tanagerhinge.node.log.LogField;
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
@@ -121,7 +121,8 @@
                 demands);
         List<Quarantine.Suspicion> suspicions =
                 state.getSuspectedList().stream().map(PeerCodec::suspicion).toList();
-        DutyAnnouncement duty = new DutyAnnouncement(state.getTimeOfDayMillis(), state.getPower(), state.getUsageToken());
+        DutyAnnouncement duty =
+                new DutyAnnouncement(state.getTimeOfDayMillis(), state.getPower(), state.getUsageToken());
         return new Told(report, kept, suspicions, List.copyOf(state.getLeavingList()), duty);
     }
 
--- a/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
@@ -24,7 +24,8 @@
             new PeerReport("gateway-0", 1, 2, "127.0.0.1:7200", true, 3, 4, 5, 250, Map.of(), Map.of());
 
     private static PeerCodec.Told told(List<Quarantine.Suspicion> suspicions, List<String> leaving) {
-        return new PeerCodec.Told(REPORT, List.of(), suspicions, leaving, new DutyAnnouncement(1_700_000_000_123L, 150, 412));
+        return new PeerCodec.Told(
+                REPORT, List.of(), suspicions, leaving, new DutyAnnouncement(1_700_000_000_123L, 150, 412));
     }
 
     @Test
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyStoreModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyStoreModel.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import org.tanagerhinge.core.duty.UsageCounts;
 import org.tanagerhinge.core.duty.DutyRecord;
+import org.tanagerhinge.core.duty.UsageCounts;
 import org.tanagerhinge.core.duty.UsageReport;
 
 /** The platform's store, as far as duties use it: one revision, leases, writes under conditions; and its faults. */
