--- /dev/null
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageAggregator.java
@@ -0,0 +1,113 @@
+package org.tanagerhinge.core.duty;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SortedMap;
+import java.util.TreeMap;
+
+/**
+ * What the holder has heard of all nodes' counts. Reports may come twice, late or out of order: each count is kept at its
+ * greatest, so the order doesn't matter.
+ */
+final class UsageAggregator {
+    /** One run of a node's process. */
+    private record Source(String node, long incarnation) {}
+
+    private static final class SourceCounts {
+        private long sinceMillis;
+        private long asOfMillis;
+        private boolean last;
+        private final TreeMap<Long, SortedMap<String, Long>> windows = new TreeMap<>();
+    }
+
+    private final Map<Source, SourceCounts> sources = new HashMap<>();
+    private long committedThrough = Long.MIN_VALUE;
+    private boolean changed;
+
+    private UsageAggregator() {}
+
+    static UsageAggregator create() {
+        return new UsageAggregator();
+    }
+
+    void merge(UsageReport report) {
+        Source source = new Source(report.node(), report.incarnation());
+        SourceCounts sourceCounts = sources.computeIfAbsent(source, unknown -> new SourceCounts());
+        sourceCounts.sinceMillis = report.sinceMillis();
+        sourceCounts.asOfMillis = Math.max(sourceCounts.asOfMillis, report.asOfMillis());
+        sourceCounts.last |= report.last();
+        report.windows().tailMap(committedThrough + 1).forEach((window, counts) -> {
+            SortedMap<String, Long> maximums = sourceCounts.windows.computeIfAbsent(window, number -> new TreeMap<>());
+            counts.forEach((workspace, count) -> maximums.merge(workspace, count, Math::max));
+        });
+        changed = true;
+    }
+
+    /** Returns whether something was heard since this was asked last. */
+    boolean clearChanged() {
+        boolean wasChanged = changed;
+        changed = false;
+        return wasChanged;
+    }
+
+    /** Returns the counts of all nodes together. */
+    UsageCounts counts(long window) {
+        TreeMap<String, Long> sums = new TreeMap<>();
+        for (SourceCounts sourceCounts : sources.values()) {
+            sourceCounts
+                    .windows
+                    .getOrDefault(window, new TreeMap<>())
+                    .forEach((workspace, count) -> sums.merge(workspace, count, Long::sum));
+        }
+        return new UsageCounts(window, sums);
+    }
+
+    /** Returns whether any process counted before a moment of true time. */
+    boolean anyStartedBefore(long epochMillis) {
+        return sources.values().stream().anyMatch(sourceCounts -> sourceCounts.sinceMillis < epochMillis);
+    }
+
+    /** Returns whether the newest process of a node has told all that it counted before a moment of true time. */
+    boolean isComplete(String node, long incarnation, long epochMillis) {
+        SourceCounts sourceCounts = sources.get(new Source(node, incarnation));
+        return sourceCounts != null && (sourceCounts.last || sourceCounts.asOfMillis >= epochMillis);
+    }
+
+    /** A window and those before it are fixed: nothing more is kept of them. */
+    void markCommitted(long window) {
+        committedThrough = Math.max(committedThrough, window);
+        sources.values()
+                .forEach(sourceCounts ->
+                        sourceCounts.windows.headMap(committedThrough, true).clear());
+    }
+
+    long committedThrough() {
+        return committedThrough;
+    }
+
+    /** Forgets processes that counted nothing since a moment of true time. */
+    void removeIdleSources(long epochMillis) {
+        sources.values()
+                .removeIf(sourceCounts -> sourceCounts.asOfMillis < epochMillis && sourceCounts.windows.isEmpty());
+    }
+
+    /** Returns what was heard of windows that aren't fixed. */
+    List<UsageReport> snapshot() {
+        List<UsageReport> reports = new ArrayList<>();
+        sources.forEach((source, sourceCounts) -> reports.add(new UsageReport(
+                source.node(),
+                source.incarnation(),
+                sourceCounts.sinceMillis,
+                sourceCounts.asOfMillis,
+                sourceCounts.last,
+                sourceCounts.windows)));
+        return reports;
+    }
+
+    void mergeAll(Collection<UsageReport> reports) {
+        reports.forEach(this::merge);
+    }
+}
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageDuty.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageDuty.java
@@ -14,88 +14,89 @@
  */
 public final class UsageDuty {
     /** After the end of a window, the time in which clocks that differ a little reach it too, in milliseconds. */
-    private static final long SETTLE_MILLIS = 150;
+    private static final long CLOCK_SKEW_ALLOWANCE_MILLIS = 150;
     /** Part of the time until a report is late for which silent nodes are waited for. */
-    private static final int PATIENCE = 2;
+    private static final int PEER_WAIT_DIVISOR = 2;
     /** Time in which the nodes find a new holder and tell it what they have counted, in milliseconds. */
-    private static final long HEAR_MILLIS = 1_200;
+    private static final long TAKEOVER_GRACE_MILLIS = 1_200;
     /** How often what was heard is saved, in milliseconds: a holder that is killed takes no more than that with it. */
-    private static final long SAVE_MILLIS = 1_000;
+    private static final long SAVE_INTERVAL_MILLIS = 1_000;
 
     /**
      * Age in seconds from which a process is preferred by power alone: until then calls of the process before it on the same
      * host may still be carried out, which would count as this one's.
      */
-    private static final int SETTLED_SECONDS = 15;
+    private static final int MATURE_AGE_SECONDS = 15;
 
-    private static final long FIRST_BACKOFF_MILLIS = 300;
-    private static final long LONGEST_BACKOFF_MILLIS = 3_000;
+    private static final long INITIAL_BACKOFF_MILLIS = 300;
+    private static final long MAX_BACKOFF_MILLIS = 3_000;
 
-    private final DutySettings terms;
+    private final DutySettings settings;
     private final NodeClock clock;
-    private final MedianClock time;
-    private final DutyClient port;
+    private final MedianClock medianClock;
+    private final DutyClient client;
     private final RandomGenerator random;
     private final DutyListener listener;
     private final UsageCounter counter;
-    private final DutyHolding holding;
-    private final long startedAt;
-    private UsageTally tally = UsageTally.create();
+    private final DutyElection election;
+    private final long startedAtMillis;
+    private UsageAggregator aggregator = UsageAggregator.create();
     /** Counts that the store was asked to fix and that it hasn't answered for; they must not change any more. */
-    private UsageCounts fixing;
+    private UsageCounts pendingCommit;
 
     private Coverage coverage;
-    private boolean fixInFlight;
-    private long nextFix;
+    private boolean commitInFlight;
+    private long nextCommitMillis;
     private final TreeMap<Long, UsageCounts> unreported = new TreeMap<>();
     private boolean reportInFlight;
-    private long nextReport;
-    private long backoff = FIRST_BACKOFF_MILLIS;
+    private long nextReportMillis;
+    private long reportBackoffMillis = INITIAL_BACKOFF_MILLIS;
     private boolean saveInFlight;
-    private long nextSave;
-    private long heldSince;
+    private long nextSaveMillis;
+    private long holderSinceMillis;
     /** Changes whenever the duty is lost: answers to calls that were made before are not heard. */
-    private long term;
+    private long epoch;
 
     /** Nodes whose counts are complete, and nodes that are known. */
-    private record Coverage(int heard, int known) {}
+    private record Coverage(int completeNodes, int knownNodes) {}
 
     private UsageDuty(
-            DutySettings terms,
+            DutySettings settings,
             NodeClock clock,
-            MedianClock time,
-            DutyClient port,
+            MedianClock medianClock,
+            DutyClient client,
             RandomGenerator random,
             DutyListener listener,
             UsageCounter counter,
             long incarnation) {
-        this.terms = terms;
+        this.settings = settings;
         this.clock = clock;
-        this.time = time;
-        this.port = port;
+        this.medianClock = medianClock;
+        this.client = client;
         this.random = random;
         this.listener = listener;
         this.counter = counter;
-        this.startedAt = clock.steadyMillis();
-        this.holding = new DutyHolding(terms, clock, port, random, listener, incarnation, this::takeOver, this::forget);
+        this.startedAtMillis = clock.steadyMillis();
+        this.election = new DutyElection(
+                settings, clock, client, random, listener, incarnation, this::onDutyAcquired, this::onDutyLost);
     }
 
     /** Returns the duty of a node that has just started; {@code counter} is its own. */
     public static UsageDuty of(
-            DutySettings terms,
+            DutySettings settings,
             NodeClock clock,
-            MedianClock time,
-            DutyClient port,
+            MedianClock medianClock,
+            DutyClient client,
             RandomGenerator random,
             DutyListener listener,
             UsageCounter counter,
             long incarnation) {
-        return new UsageDuty(terms, clock, time, port, random, listener, counter, incarnation);
+        return new UsageDuty(settings, clock, medianClock, client, random, listener, counter, incarnation);
     }
 
     /** Returns the fencing token if this node holds the duty and can prove it, 0 otherwise: the others may take it then. */
-    public long token() {
-        return holding.leaseLeftMillis() > 0 ? holding.token() : 0;
+    public long fencingToken() {
+        return election.remainingLeaseMillis() > 0 ? election.fencingToken() : 0;
     }
 
     /**
@@ -104,9 +105,9 @@
      *
      * @param hostPower how well the host could bear a duty, greater is better; 0 if the node takes none
      */
-    public int preference(int hostPower) {
-        int age = (int) Math.min(SETTLED_SECONDS, (clock.steadyMillis() - startedAt) / 1000);
-        return hostPower == 0 ? 0 : 1 + age + (age == SETTLED_SECONDS ? hostPower : 0);
+    public int preference(int hostCapacity) {
+        int ageSeconds = (int) Math.min(MATURE_AGE_SECONDS, (clock.steadyMillis() - startedAtMillis) / 1000);
+        return hostCapacity == 0 ? 0 : 1 + ageSeconds + (ageSeconds == MATURE_AGE_SECONDS ? hostCapacity : 0);
     }
 
     /**
@@ -114,15 +115,15 @@
      *
      * @param hostPower how well this host could bear the duty, 0 if the node takes none
      */
-    public void step(List<DutyPeer> others, int hostPower) {
-        holding.step(others, preference(hostPower));
-        if (!holding.holds()) {
+    public void tick(List<DutyPeer> peers, int hostCapacity) {
+        election.tick(peers, preference(hostCapacity));
+        if (!election.isHolder()) {
             return;
         }
-        tally.take(counter.snapshot(false));
-        fixDue(others);
-        reportDue();
-        saveDue();
+        aggregator.merge(counter.snapshot(false));
+        commitIfDue(peers);
+        reportIfDue();
+        saveIfDue();
     }
 
     /**
@@ -130,167 +131,170 @@
      *
      * @return the newest window that is fixed, so that nothing more need be told of it; nothing if this node isn't the holder
      */
-    public OptionalLong take(UsageReport report) {
-        if (!holding.holds()) {
+    public OptionalLong acceptReport(UsageReport report) {
+        if (!election.isHolder()) {
             return OptionalLong.empty();
         }
-        tally.take(report);
-        return OptionalLong.of(tally.fixedThrough());
+        aggregator.merge(report);
+        return OptionalLong.of(aggregator.committedThrough());
     }
 
     /** Gives the duty back with what was heard: the process stops. */
     public void stop() {
-        tally.take(counter.snapshot(false));
-        holding.stop(tally.saved());
+        aggregator.merge(counter.snapshot(false));
+        election.stop(aggregator.snapshot());
     }
 
-    private void takeOver(DutyRecord found) {
-        found.committedCounts().forEach(counts -> {
-            tally.fixed(counts.window());
-            if (time.epochMillis() < terms.windowEndMillis(counts.window()) + 2 * terms.reportDeadlineMillis()) {
+    private void onDutyAcquired(DutyRecord dutyRecord) {
+        dutyRecord.committedCounts().forEach(counts -> {
+            aggregator.markCommitted(counts.window());
+            if (medianClock.epochMillis()
+                    < settings.windowEndMillis(counts.window()) + 2 * settings.reportDeadlineMillis()) {
                 unreported.put(counts.window(), counts);
             }
         });
-        tally.takeAll(found.savedReports());
-        heldSince = clock.steadyMillis();
-        nextSave = heldSince + SAVE_MILLIS;
+        aggregator.mergeAll(dutyRecord.savedReports());
+        holderSinceMillis = clock.steadyMillis();
+        nextSaveMillis = holderSinceMillis + SAVE_INTERVAL_MILLIS;
     }
 
-    private void forget() {
-        term++;
-        tally = UsageTally.create();
+    private void onDutyLost() {
+        epoch++;
+        aggregator = UsageAggregator.create();
         unreported.clear();
-        fixing = null;
-        fixInFlight = false;
+        pendingCommit = null;
+        commitInFlight = false;
         reportInFlight = false;
         saveInFlight = false;
     }
 
     // ---- fixing
 
-    private void fixDue(List<DutyPeer> others) {
-        if (fixInFlight || clock.steadyMillis() < nextFix || !holding.mayCall()) {
+    private void commitIfDue(List<DutyPeer> peers) {
+        if (commitInFlight || clock.steadyMillis() < nextCommitMillis || !election.canCall()) {
             return;
         }
-        if (fixing == null) {
-            long now = time.epochMillis();
-            skipLate(now);
-            long window = tally.fixedThrough() + 1;
-            if (window >= terms.windowAt(now) || !ready(window, now, others)) {
+        if (pendingCommit == null) {
+            long nowMillis = medianClock.epochMillis();
+            skipExpiredWindows(nowMillis);
+            long window = aggregator.committedThrough() + 1;
+            if (window >= settings.windowAt(nowMillis) || !isReady(window, nowMillis, peers)) {
                 return;
             }
-            if (!tally.anyBefore(terms.windowEndMillis(window))) {
-                tally.fixed(window);
+            if (!aggregator.anyStartedBefore(settings.windowEndMillis(window))) {
+                aggregator.markCommitted(window);
                 return;
             }
-            fixing = tally.counts(window);
-            coverage = new Coverage(complete(window, others), others.size() + 1);
+            pendingCommit = aggregator.counts(window);
+            coverage = new Coverage(completeNodes(window, peers), peers.size() + 1);
         }
-        fix(fixing);
+        commit(pendingCommit);
     }
 
     /** Windows whose report would be late are not reported any more. */
-    private void skipLate(long now) {
-        long oldest = terms.windowAt(now - terms.reportDeadlineMillis());
-        long first = tally.fixedThrough() + 1;
+    private void skipExpiredWindows(long nowMillis) {
+        long oldest = settings.windowAt(nowMillis - settings.reportDeadlineMillis());
+        long first = aggregator.committedThrough() + 1;
         if (first >= oldest) {
             return;
         }
-        for (long window = Math.max(first, oldest - terms.retainedWindows()); window < oldest; window++) {
-            if (tally.anyBefore(terms.windowEndMillis(window))) {
+        for (long window = Math.max(first, oldest - settings.retainedWindows()); window < oldest; window++) {
+            if (aggregator.anyStartedBefore(settings.windowEndMillis(window))) {
                 listener.windowMissed(window, "was not fixed in time");
             }
         }
-        tally.fixed(oldest - 1);
+        aggregator.markCommitted(oldest - 1);
     }
 
-    private boolean ready(long window, long now, List<DutyPeer> others) {
-        long end = terms.windowEndMillis(window);
-        boolean patienceEnds =
-                now >= end + terms.reportDeadlineMillis() / PATIENCE && clock.steadyMillis() >= heldSince + HEAR_MILLIS;
-        return now >= end + SETTLE_MILLIS && (patienceEnds || complete(window, others) > others.size());
+    private boolean isReady(long window, long nowMillis, List<DutyPeer> peers) {
+        long endMillis = settings.windowEndMillis(window);
+        boolean waitExpired = nowMillis >= endMillis + settings.reportDeadlineMillis() / PEER_WAIT_DIVISOR
+                && clock.steadyMillis() >= holderSinceMillis + TAKEOVER_GRACE_MILLIS;
+        return nowMillis >= endMillis + CLOCK_SKEW_ALLOWANCE_MILLIS
+                && (waitExpired || completeNodes(window, peers) > peers.size());
     }
 
     /** Returns how many nodes, this one among them, have told all that they counted in a window. */
-    private int complete(long window, List<DutyPeer> others) {
-        long end = terms.windowEndMillis(window);
+    private int completeNodes(long window, List<DutyPeer> peers) {
+        long endMillis = settings.windowEndMillis(window);
         return 1
-                + (int) others.stream()
-                        .filter(peer -> tally.complete(peer.name(), peer.incarnation(), end))
+                + (int) peers.stream()
+                        .filter(peer -> aggregator.isComplete(peer.name(), peer.incarnation(), endMillis))
                         .count();
     }
 
-    private void fix(UsageCounts counts) {
-        fixInFlight = true;
-        long asked = term;
-        long forget = counts.window() - terms.retainedWindows();
-        port.commitUsage(holding.token(), counts, forget, reply -> {
-            if (asked != term) {
+    private void commit(UsageCounts counts) {
+        commitInFlight = true;
+        long callEpoch = epoch;
+        long pruneThrough = counts.window() - settings.retainedWindows();
+        client.commitUsage(election.fencingToken(), counts, pruneThrough, reply -> {
+            if (callEpoch != epoch) {
                 return;
             }
-            fixInFlight = false;
+            commitInFlight = false;
             switch (reply) {
-                case CallOutcome.Completed<DutyClient.CommitResult>(DutyClient.CommitResult.Committed now) ->
-                    fixed(counts);
+                case CallOutcome.Completed<DutyClient.CommitResult>(DutyClient.CommitResult.Committed committed) ->
+                    onCommitted(counts);
                 case CallOutcome.Completed<DutyClient.CommitResult>(
-                        DutyClient.CommitResult.AlreadyCommitted(UsageCounts before)) -> fixed(before);
-                case CallOutcome.Completed<DutyClient.CommitResult>(DutyClient.CommitResult.NotHolder not) ->
-                    holding.lose("its key has gone");
+                        DutyClient.CommitResult.AlreadyCommitted(UsageCounts committedBefore)) ->
+                    onCommitted(committedBefore);
+                case CallOutcome.Completed<DutyClient.CommitResult>(DutyClient.CommitResult.NotHolder notHolder) ->
+                    election.relinquish("its key has gone");
                 case CallOutcome.Unknown<DutyClient.CommitResult> unknown ->
-                    nextFix = clock.steadyMillis() + FIRST_BACKOFF_MILLIS + random.nextLong(FIRST_BACKOFF_MILLIS);
+                    nextCommitMillis =
+                            clock.steadyMillis() + INITIAL_BACKOFF_MILLIS + random.nextLong(INITIAL_BACKOFF_MILLIS);
             }
         });
     }
 
-    private void fixed(UsageCounts counts) {
-        listener.usageCommitted(holding.token(), counts, coverage.heard(), coverage.known());
-        fixing = null;
-        tally.fixed(counts.window());
-        tally.trim(time.epochMillis() - 2 * terms.reportDeadlineMillis());
+    private void onCommitted(UsageCounts counts) {
+        listener.usageCommitted(election.fencingToken(), counts, coverage.completeNodes(), coverage.knownNodes());
+        pendingCommit = null;
+        aggregator.markCommitted(counts.window());
+        aggregator.removeIdleSources(medianClock.epochMillis() - 2 * settings.reportDeadlineMillis());
         unreported.put(counts.window(), counts);
         counter.dropThrough(counts.window());
-        reportDue();
+        reportIfDue();
     }
 
     // ---- reporting
 
-    private void reportDue() {
-        if (reportInFlight || unreported.isEmpty() || clock.steadyMillis() < nextReport || !holding.mayCall()) {
+    private void reportIfDue() {
+        if (reportInFlight || unreported.isEmpty() || clock.steadyMillis() < nextReportMillis || !election.canCall()) {
             return;
         }
         UsageCounts counts = unreported.firstEntry().getValue();
         reportInFlight = true;
-        long asked = term;
-        long token = holding.token();
-        long sentAt = clock.steadyMillis();
-        port.reportUsage(token, counts, reply -> {
+        long callEpoch = epoch;
+        long token = election.fencingToken();
+        long sentAtMillis = clock.steadyMillis();
+        client.reportUsage(token, counts, reply -> {
             if (reply instanceof CallOutcome.Unknown) {
-                holding.unanswered(sentAt);
+                election.recordUnansweredCall(sentAtMillis);
             }
-            if (asked != term) {
+            if (callEpoch != epoch) {
                 return;
             }
             reportInFlight = false;
             String outcome = switch (reply) {
-                case CallOutcome.Completed<DutyClient.ReportResult>(DutyClient.ReportResult reported) ->
-                    reported.name();
-                case CallOutcome.Unknown<DutyClient.ReportResult>(String why) -> why;
+                case CallOutcome.Completed<DutyClient.ReportResult>(DutyClient.ReportResult result) -> result.name();
+                case CallOutcome.Unknown<DutyClient.ReportResult>(String reason) -> reason;
             };
-            listener.usageReported(token, counts, outcome, holding.leaseLeftMillis());
-            answered(counts, reply);
+            listener.usageReported(token, counts, outcome, election.remainingLeaseMillis());
+            onReportOutcome(counts, reply);
         });
     }
 
-    private void answered(UsageCounts counts, CallOutcome<DutyClient.ReportResult> reply) {
+    private void onReportOutcome(UsageCounts counts, CallOutcome<DutyClient.ReportResult> reply) {
         switch (reply) {
-            case CallOutcome.Completed<DutyClient.ReportResult>(DutyClient.ReportResult reported) -> {
-                switch (reported) {
-                    case ACCEPTED -> settled(counts);
-                    case FENCED -> holding.lose("a higher token was seen");
+            case CallOutcome.Completed<DutyClient.ReportResult>(DutyClient.ReportResult result) -> {
+                switch (result) {
+                    case ACCEPTED -> finishReport(counts);
+                    case FENCED -> election.relinquish("a higher token was seen");
                     case LATER -> backOff();
                     case REFUSED -> {
                         listener.windowMissed(counts.window(), "the platform doesn't accept the report");
-                        settled(counts);
+                        finishReport(counts);
                     }
                 }
             }
@@ -298,34 +302,34 @@
         }
     }
 
-    private void settled(UsageCounts counts) {
+    private void finishReport(UsageCounts counts) {
         unreported.remove(counts.window());
-        backoff = FIRST_BACKOFF_MILLIS;
-        reportDue();
+        reportBackoffMillis = INITIAL_BACKOFF_MILLIS;
+        reportIfDue();
     }
 
     private void backOff() {
-        nextReport = clock.steadyMillis() + backoff / 2 + random.nextLong(backoff);
-        backoff = Math.min(LONGEST_BACKOFF_MILLIS, 2 * backoff);
+        nextReportMillis = clock.steadyMillis() + reportBackoffMillis / 2 + random.nextLong(reportBackoffMillis);
+        reportBackoffMillis = Math.min(MAX_BACKOFF_MILLIS, 2 * reportBackoffMillis);
     }
 
     // ---- saving
 
-    private void saveDue() {
-        long now = clock.steadyMillis();
-        if (saveInFlight || now < nextSave || !holding.mayCall() || !tally.takeChange()) {
+    private void saveIfDue() {
+        long nowMillis = clock.steadyMillis();
+        if (saveInFlight || nowMillis < nextSaveMillis || !election.canCall() || !aggregator.clearChanged()) {
             return;
         }
         saveInFlight = true;
-        nextSave = now + SAVE_MILLIS;
-        long asked = term;
-        port.saveReports(holding.token(), tally.saved(), reply -> {
-            if (asked != term) {
+        nextSaveMillis = nowMillis + SAVE_INTERVAL_MILLIS;
+        long callEpoch = epoch;
+        client.saveReports(election.fencingToken(), aggregator.snapshot(), reply -> {
+            if (callEpoch != epoch) {
                 return;
             }
             saveInFlight = false;
-            if (reply instanceof CallOutcome.Completed<Boolean>(Boolean stands) && !stands) {
-                holding.lose("its key has gone");
+            if (reply instanceof CallOutcome.Completed<Boolean>(Boolean stillHolder) && !stillHolder) {
+                election.relinquish("its key has gone");
             }
         });
     }
--- a/core/src/test/java/org/tanagerhinge/core/duty/UsageTallyTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/duty/UsageTallyTest.java
@@ -35,32 +35,32 @@
         reports.add(report("a", 2, 9_000, false, 7, 100));
         reports.addAll(List.copyOf(reports));
         Collections.shuffle(reports, new Random(seed));
-        UsageTally tally = UsageTally.create();
-        tally.takeAll(reports);
+        UsageAggregator tally = UsageAggregator.create();
+        tally.mergeAll(reports);
         assertEquals(Map.of("coop", 155L), tally.counts(7).byWorkspace());
     }
 
     @Test
     void whatWasSavedGivesTheSameCounts() {
-        UsageTally tally = UsageTally.create();
-        tally.take(report("a", 1, 4_000, true, 7, 3));
-        tally.take(report("b", 4, 4_000, false, 8, 2));
-        UsageTally successor = UsageTally.create();
-        successor.takeAll(tally.saved());
+        UsageAggregator tally = UsageAggregator.create();
+        tally.merge(report("a", 1, 4_000, true, 7, 3));
+        tally.merge(report("b", 4, 4_000, false, 8, 2));
+        UsageAggregator successor = UsageAggregator.create();
+        successor.mergeAll(tally.snapshot());
         assertEquals(tally.counts(7), successor.counts(7));
         assertEquals(tally.counts(8), successor.counts(8));
-        assertTrue(successor.complete("a", 1, 99_000), "a process that has ended tells no more");
-        assertFalse(successor.complete("b", 4, 99_000));
+        assertTrue(successor.isComplete("a", 1, 99_000), "a process that has ended tells no more");
+        assertFalse(successor.isComplete("b", 4, 99_000));
     }
 
     /** A report that comes after its window was fixed brings the window back. */
     @Test
     void aFixedWindowTakesNoMoreCounts() {
-        UsageTally tally = UsageTally.create();
-        tally.take(report("a", 1, 4_000, false, 7, 3));
-        tally.fixed(7);
-        tally.take(report("a", 1, 5_000, false, 7, 9));
+        UsageAggregator tally = UsageAggregator.create();
+        tally.merge(report("a", 1, 4_000, false, 7, 3));
+        tally.markCommitted(7);
+        tally.merge(report("a", 1, 5_000, false, 7, 9));
         assertEquals(Map.of(), tally.counts(7).byWorkspace());
-        assertEquals(7, tally.fixedThrough());
+        assertEquals(7, tally.committedThrough());
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Duties.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Duties.java
@@ -24,7 +24,7 @@
 import org.tanagerhinge.core.duty.UsageCounter;
 import org.tanagerhinge.core.duty.UsageDuty;
 import org.tanagerhinge.core.duty.UsageReport;
-import org.tanagerhinge.core.duty.UsageTeller;
+import org.tanagerhinge.core.duty.UsageReporter;
 import org.tanagerhinge.core.relay.PeerTable;
 
 /** A gateway's part in the duties that one gateway does for all: counts, tells the holder, holds. On the event loop. */
@@ -51,7 +51,7 @@
     private final MedianClock time;
     private final DutyLog log;
     private final UsageCounter counter;
-    private final UsageTeller teller;
+    private final UsageReporter teller;
     private final Map<String, DutyAnnouncement> words = new HashMap<>();
     private UsageDuty duty;
     private JsonCaller caller;
@@ -76,7 +76,7 @@
         this.time = MedianClock.of(clock);
         this.log = new DutyLog(gateway);
         this.counter = UsageCounter.of(options.terms(), time, peers.incarnation());
-        this.teller = UsageTeller.of(options.terms(), clock, time, ThreadLocalRandom.current(), counter);
+        this.teller = UsageReporter.of(options.terms(), clock, time, ThreadLocalRandom.current(), counter);
     }
 
     /** The clocks of this host. */
@@ -120,7 +120,7 @@
     }
 
     private long token() {
-        return duty == null ? 0 : duty.token();
+        return duty == null ? 0 : duty.fencingToken();
     }
 
     private void heard(String peer, DutyAnnouncement word) {
@@ -153,9 +153,9 @@
         if (duty == null) {
             duty = duty();
         }
-        long before = duty.token();
-        duty.step(others, hostPower());
-        if (duty.token() != before) {
+        long before = duty.fencingToken();
+        duty.tick(others, hostPower());
+        if (duty.fencingToken() != before) {
             peers.tellNow();
         }
         if (gateway.draining()) {
@@ -176,12 +176,13 @@
         if (token() > 0) {
             return;
         }
-        Optional<DutyPeer> holder = UsageTeller.holder(others);
+        Optional<DutyPeer> holder = UsageReporter.findHolder(others);
         if (holder.isEmpty()) {
             return;
         }
-        long counted = teller.counted();
-        teller.due(holder.get(), others.size() + 1, done()).ifPresent(report -> send(holder.get(), report, counted));
+        long counted = teller.startedRequests();
+        teller.pollReport(holder.get(), others.size() + 1, done())
+                .ifPresent(report -> send(holder.get(), report, counted));
     }
 
     private void send(DutyPeer holder, UsageReport report, long counted) {
@@ -202,7 +203,7 @@
             }
             try {
                 long fixedThrough = UsageCodec.fixedThrough(answer.body());
-                teller.taken(holder.announcement().fencingToken(), report, counted, fixedThrough);
+                teller.acknowledged(holder.announcement().fencingToken(), report, counted, fixedThrough);
             } catch (InvalidProtocolBufferException e) {
                 LOG.log(Level.ERROR, "answer of peer " + holder.name() + ": " + e.getMessage());
                 teller.failed();
@@ -234,7 +235,7 @@
         }
         OptionalLong fixedThrough = OptionalLong.empty();
         for (UsageReport report : UsageCodec.reports(body)) {
-            fixedThrough = duty.take(report);
+            fixedThrough = duty.acceptReport(report);
         }
         return fixedThrough.isPresent() ? Optional.of(UsageCodec.taken(fixedThrough.getAsLong())) : Optional.empty();
     }
@@ -263,7 +264,7 @@
         drainedAt = done() ? Math.min(drainedAt, now) : Long.MAX_VALUE;
         boolean alone = others.stream().noneMatch(DutyPeer::alive);
         boolean patienceEnds = drainedAt != Long.MAX_VALUE && now - drainedAt >= LAST_WORD_MILLIS;
-        settled = alone || teller.toldLast() || patienceEnds;
+        settled = alone || teller.lastReportAcknowledged() || patienceEnds;
     }
 
     /** Returns whether the process may end: the holder has its last counts, or there is none to be found. From any thread. */
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
@@ -25,7 +25,7 @@
 import org.tanagerhinge.core.duty.UsageCounts;
 import org.tanagerhinge.core.duty.UsageDuty;
 import org.tanagerhinge.core.duty.UsageReport;
-import org.tanagerhinge.core.duty.UsageTeller;
+import org.tanagerhinge.core.duty.UsageReporter;
 
 /** A host with the real decision code of duties, its clocks, and its links to the store, the platform and its peers. */
 final class DutyNode {
@@ -57,7 +57,7 @@
     private MedianClock time;
     private UsageCounter counter;
     private UsageDuty duty;
-    private UsageTeller teller;
+    private UsageReporter teller;
 
     private record Heard(long incarnation, DutyAnnouncement word, long at) {}
 
@@ -107,7 +107,7 @@
         time = MedianClock.of(clock);
         counter = UsageCounter.of(terms, time, incarnation);
         duty = UsageDuty.of(terms, clock, time, new Port(), run.random, new Notes(), counter, incarnation);
-        teller = UsageTeller.of(terms, clock, time, run.random, counter);
+        teller = UsageReporter.of(terms, clock, time, run.random, counter);
         repeat(incarnation, STEP_MILLIS, this::step);
         repeat(incarnation, REPORT_MILLIS, this::tellPeers);
         repeat(incarnation, 40, this::serve);
@@ -178,7 +178,7 @@
     }
 
     boolean holds() {
-        return alive && duty != null && duty.token() > 0;
+        return alive && duty != null && duty.fencingToken() > 0;
     }
 
     // ---- what it does
@@ -202,11 +202,11 @@
     private void step() {
         peers.values().removeIf(last -> clock.steadyMillis() - last.at() > 30_000);
         List<DutyPeer> others = others();
-        duty.step(others, stopping ? 0 : power);
-        UsageTeller.holder(others).ifPresent(holder -> {
-            long counted = teller.counted();
-            if (duty.token() == 0) {
-                teller.due(holder, others.size() + 1, ending).ifPresent(report -> tell(holder, report, counted));
+        duty.tick(others, stopping ? 0 : power);
+        UsageReporter.findHolder(others).ifPresent(holder -> {
+            long counted = teller.startedRequests();
+            if (duty.fencingToken() == 0) {
+                teller.pollReport(holder, others.size() + 1, ending).ifPresent(report -> tell(holder, report, counted));
             }
         });
     }
@@ -220,14 +220,15 @@
         OptionalLong[] answer = {OptionalLong.empty()};
         run.after(run.between(1, 8), () -> {
             if (reaches(to) && to.running()) {
-                answer[0] = to.duty.take(report);
+                answer[0] = to.duty.acceptReport(report);
             }
         });
         run.after(
                 20,
                 () -> whenAwake(life, () -> {
                     if (answer[0].isPresent() && to.reaches(this)) {
-                        teller.taken(holder.announcement().fencingToken(), report, counted, answer[0].getAsLong());
+                        teller.acknowledged(
+                                holder.announcement().fencingToken(), report, counted, answer[0].getAsLong());
                     } else {
                         teller.failed();
                     }
@@ -240,7 +241,7 @@
 
     private void tellPeers() {
         DutyAnnouncement word = new DutyAnnouncement(
-                clock.wallClockMillis(), duty.preference(stopping || turnedAway() ? 0 : power), duty.token());
+                clock.wallClockMillis(), duty.preference(stopping || turnedAway() ? 0 : power), duty.fencingToken());
         for (DutyNode peer : run.nodes) {
             if (peer != this && peer.alive && reaches(peer) && !run.chance(0.01)) {
                 long told = incarnation;
