--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyAnnouncement.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyAnnouncement.java
@@ -1,13 +1,13 @@
 package org.tanagerhinge.core.duty;
 
 /**
- * What a node tells all others of duties, with its reports.
+ * Holds what a node announces to all peers for the election of the duty holder.
  *
- * @param timeOfDayMillis by its clock
- * @param power how much it is to be preferred as a holder, greater is better; 0 if it takes no duty
- * @param token its fencing token, 0 if it holds no duty
+ * @param wallClockMillis time of the node's wall clock, in milliseconds since the Unix epoch; 0 if it takes no part in duties
+ * @param preference rank of the node as a candidate, greater is better; 0 if it is no candidate
+ * @param fencingToken the node's fencing token, 0 if it holds no duty
  */
 public record DutyAnnouncement(long wallClockMillis, int preference, long fencingToken) {
-    /** Of a node that has nothing to do with duties. */
+    /** The announcement of a node that takes no part in duties. */
     public static final DutyAnnouncement NONE = new DutyAnnouncement(0, 0, 0);
 }
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyClient.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyClient.java
@@ -4,67 +4,71 @@
 import java.util.function.Consumer;
 
 /**
- * The calls that a holder and those who want to be one make. Callbacks come once, on the thread of the caller, after the call
- * has returned.
+ * Makes the asynchronous calls of duty holders and candidates to the metadata store and the platform. Each callback runs
+ * exactly once, on the caller's thread, after the method has returned.
  */
 public interface DutyClient {
-    /** Asks the store for a lease; {@code done} gets its number. */
+    /** Requests a lease from the store; {@code callback} receives the lease id. */
     void grantLease(long ttlMillis, Consumer<CallOutcome<Long>> callback);
 
     /**
-     * Writes a claim under a lease if nobody holds the duty.
+     * Writes a claim attached to a lease, on condition that no node holds the duty.
      *
-     * @param holders names of the nodes that held it last, this one the newest; they outlast the lease
-     * @param done gets whether it was written
+     * @param recentHolders names of the latest holders, oldest first, ending with this node; stored without a lease
+     * @param callback receives whether the claim was written
      */
     void claim(String claim, long leaseId, List<String> recentHolders, Consumer<CallOutcome<Boolean>> callback);
 
-    /** Renews a lease; {@code done} gets whether it still runs. */
+    /** Renews a lease; {@code callback} receives false if the lease has already expired. */
     void renewLease(long leaseId, Consumer<CallOutcome<Boolean>> callback);
 
-    /** Ends a lease, and the holding under it; the answer doesn't matter. */
+    /** Revokes a lease and with it the ownership claimed under it; the answer is ignored. */
     void revokeLease(long leaseId);
 
-    /** Reads what the store holds of the duty. */
+    /** Reads the stored record of the duty. */
     void readRecord(Consumer<CallOutcome<DutyRecord>> callback);
 
     /**
-     * Fixes a window's counts, if the holding of a token still stands.
+     * Commits the counts of a window to the store, on condition that the fencing token is still current and the window has not
+     * been committed before.
      *
-     * @param forget the newest window that may be removed from the store
+     * @param pruneThrough newest window that may be removed from the store
      */
     void commitUsage(
             long fencingToken, UsageCounts counts, long pruneThrough, Consumer<CallOutcome<CommitResult>> callback);
 
-    /** Saves what was heard of windows that aren't fixed, if the holding still stands; {@code done} gets whether it does. */
+    /**
+     * Saves the reports on uncommitted windows, on condition that the fencing token is still current; {@code callback} receives
+     * whether it is.
+     */
     void saveReports(long fencingToken, List<UsageReport> reports, Consumer<CallOutcome<Boolean>> callback);
 
-    /** Gives the duty back with what was heard; {@code done} runs once that is known to be done or to have failed. */
+    /** Saves the reports and gives up ownership; {@code callback} runs when the call has succeeded or failed. */
     void release(long fencingToken, List<UsageReport> reports, Runnable callback);
 
-    /** Reports a window's counts to the platform. */
+    /** Reports the counts of a window to the platform. */
     void reportUsage(long fencingToken, UsageCounts counts, Consumer<CallOutcome<ReportResult>> callback);
 
-    /** What became of fixing a window's counts. */
+    /** Represents the result of committing the counts of a window. */
     sealed interface CommitResult {
-        /** They are fixed. */
+        /** The counts are committed. */
         record Committed() implements CommitResult {}
 
-        /** The window has been fixed before, with these counts. */
+        /** The window had been committed before, with these counts. */
         record AlreadyCommitted(UsageCounts counts) implements CommitResult {}
 
-        /** The holding of the token has ended. */
+        /** The fencing token is no longer current. */
         record NotHolder() implements CommitResult {}
     }
 
-    /** What the platform said of a report. */
+    /** The platform's answer to a usage report. */
     enum ReportResult {
         ACCEPTED,
-        /** A higher fencing token was seen: the holding has ended. */
+        /** The platform has seen a higher fencing token: this node is no longer the holder. */
         FENCED,
-        /** Not now: too many calls, or the platform can't. */
+        /** The platform is overloaded or unavailable; the report is to be retried. */
         LATER,
-        /** The report itself is not acceptable. */
+        /** The platform rejected the report; a retry would be rejected as well. */
         REFUSED
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyElection.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyElection.java
@@ -9,26 +9,24 @@
 import org.tanagerhinge.core.chart.StateChart;
 
 /**
- * Whether this node holds the duty, and whether it can prove that it still does.
+ * Elects the holder of a duty with a lease in the metadata store, and tracks whether this node's ownership is still valid.
  *
- * <p>The duty belongs to whoever wrote the store's key for it, which exists only for as long as the writer's lease runs; the
- * revision of that write is the fencing token, so no two claims ever have the same one. A holder counts its lease from the
- * sending of its newest renewal that was answered, and trusts none that was sent before its host seems to have been suspended.
- * There is no timer by which all nodes try: the node with the most power tries at once, each next one a moment later.
+ * <p>The holder is the node that wrote the duty's key. The key is attached to the writer's lease and disappears with it. The
+ * store revision of that write is the fencing token, so each claim has a unique token. The validity of a lease is counted from
+ * the time its last successful renewal was sent, and a renewal sent before the host was suspended is not trusted. Candidates
+ * stand in order of preference: the most preferred one tries at once, each further one after an additional delay.
  */
 final class DutyElection {
     private static final StateChart<DutyState, DutyEvent> CHART =
             StateChart.load("duty", DutyState.class, DutyEvent.class);
-    /** Time by which a node waits for each one that could bear the duty better, in milliseconds. */
+    /** Delay of an attempt for each peer with a higher preference. */
     private static final long CANDIDATE_DELAY_MILLIS = 400;
-    /** Share of the lease that is left unused, for the time that a call is on its way. */
+    /** The last fraction of the lease, one part in this many, is not used because calls take time to arrive. */
     private static final int LEASE_MARGIN_DIVISOR = 10;
-    /** Renewals in the time of one lease. */
     private static final int RENEWALS_PER_LEASE = 3;
-    /** Difference between the clocks' advances that shows that the host was suspended or its clock stepped, in milliseconds. */
+    /** Change of the offset between the clocks above which the host counts as suspended or its clock as stepped. */
     private static final long MAX_CLOCK_DIVERGENCE_MILLIS = 250;
 
-    /** Holders that are remembered. */
     private static final int MAX_RECENT_HOLDERS = 8;
 
     private static final long INITIAL_BACKOFF_MILLIS = 400;
@@ -43,12 +41,11 @@
     private final Runnable onLost;
     private final String claimPrefix;
     private final Machine<DutyState, DutyEvent> machine = CHART.start();
-    /** Callbacks of calls that were made before the duty was lost last are not heard any more. */
+    /** Increases whenever the duty is lost, so that callbacks of earlier calls are ignored. */
     private long epoch;
 
     private long claimCount;
     private final long startedAtMillis;
-    /** When the newest call was sent that had no answer. */
     private long lastUnansweredCallMillis = Long.MIN_VALUE;
 
     private long cooldownEndMillis;
@@ -80,7 +77,7 @@
         this.onAcquired = onAcquired;
         this.onLost = onLost;
         this.claimPrefix = settings.node() + "/" + Long.toHexString(incarnation);
-        // A process that ended under this name may have acted just now: it counts as the same holder.
+        // A previous process with this node name may have made calls just before; they would count as this holder's.
         this.startedAtMillis = clock.steadyMillis();
         this.cooldownEndMillis = clock.steadyMillis() + settings.cooldownMillis();
         this.vacantSinceMillis = clock.steadyMillis();
@@ -94,28 +91,28 @@
         return machine.in(DutyState.STOPPED);
     }
 
-    /** Returns the fencing token of a node that holds the duty, 0 of any other. */
+    /** Returns the fencing token if this node is the holder, 0 otherwise. */
     long fencingToken() {
         return isHolder() ? fencingToken : 0;
     }
 
-    /** Returns for how long the lease is proven, in milliseconds. */
+    /** Returns how long the lease is certain to be valid, in milliseconds; 0 if it may have expired. */
     long remainingLeaseMillis() {
         return clock.steadyMillis() < leaseValidUntilMillis && !clocksDiverged()
                 ? leaseValidUntilMillis - clock.steadyMillis()
                 : 0;
     }
 
-    /** Returns whether the duty's calls may be made now. */
+    /** Returns whether this node may make calls as the holder now. */
     boolean canCall() {
         return isHolder() && remainingLeaseMillis() > 0 && clock.steadyMillis() >= callsAllowedFromMillis;
     }
 
     /**
-     * Does what is due.
+     * Starts an election attempt or renews the lease if due.
      *
-     * @param others the other nodes
-     * @param power how much this node is to be preferred, 0 if it takes no duty
+     * @param peers the other nodes
+     * @param preference rank of this node as a candidate, 0 if it is no candidate
      */
     void tick(List<DutyPeer> peers, int preference) {
         long nowMillis = clock.steadyMillis();
@@ -135,7 +132,7 @@
             }
             case HOLDING -> {
                 if (peerToken > fencingToken) {
-                    relinquish("a peer has a higher token");
+                    relinquish("a peer announced a higher fencing token");
                 } else if (!renewalInFlight && (nowMillis >= nextRenewalMillis || clocksDiverged())) {
                     renewLease();
                 }
@@ -165,7 +162,7 @@
                 || (peerPreference == ownPreference && peer.name().compareTo(settings.node()) < 0);
     }
 
-    // ---- becoming the holder
+    // ---- election
 
     private void startAttempt() {
         machine.fire(DutyEvent.ASK);
@@ -175,7 +172,7 @@
                     if (dutyRecord.ownership().isPresent()) {
                         relinquish("held by " + dutyRecord.ownership().get().claim());
                     } else if (predecessorCallsMayBePending(dutyRecord.recentHolders())) {
-                        relinquish("a process before this one held it");
+                        relinquish("calls of a previous process of this node may still be pending");
                         nextAttemptMillis = startedAtMillis + settings.maxCallDelayMillis();
                     } else {
                         requestLease(dutyRecord.recentHolders());
@@ -187,8 +184,8 @@
     }
 
     /**
-     * Returns whether a process before this one on its host may have calls that are still to be carried out, and another host
-     * has held the duty since: its calls and those of this one would stand on both sides of the other's.
+     * Returns whether calls of a previous process of this node may still be pending although another node has held the duty
+     * since. Calls with this node's name would then be executed both before and after the other holder's calls.
      */
     private boolean predecessorCallsMayBePending(List<String> recentHolders) {
         return clock.steadyMillis() - startedAtMillis < settings.maxCallDelayMillis()
@@ -211,7 +208,7 @@
                 machine.fire(DutyEvent.GRANTED);
                 writeClaim(recentHolders);
             } else if (callEpoch == epoch) {
-                relinquish("no lease");
+                relinquish("store granted no lease");
             }
         });
     }
@@ -230,7 +227,7 @@
                 return;
             }
             if (reply instanceof CallOutcome.Completed<Boolean>(Boolean written) && !written) {
-                abandonClaim("another node was first");
+                abandonClaim("claim not written: another node holds the duty or the store rejected the write");
             } else {
                 machine.fire(DutyEvent.ASKED);
                 confirmClaim(claim);
@@ -239,8 +236,8 @@
     }
 
     /**
-     * Reads who holds the duty: the claim may have had no answer, and its revision is that of the key, whatever else the same
-     * write has changed. A claim that is carried out later still holds for no longer than its lease.
+     * Reads the record back to confirm the claim, since the write may have got no answer, and to learn the revision of the key
+     * as the fencing token. A claim that is executed later is still bounded by its lease.
      */
     private void confirmClaim(String claim) {
         client.readRecord(inCurrentEpoch(reply -> {
@@ -253,7 +250,7 @@
                         fencingToken = ownClaim.get().fencingToken();
                         becomeHolder(dutyRecord);
                     } else {
-                        abandonClaim("claim was not carried out");
+                        abandonClaim("claim not found in the store");
                     }
                 }
                 case CallOutcome.Unknown<DutyRecord>(String reason) -> abandonClaim(reason);
@@ -275,7 +272,7 @@
         relinquish(reason);
     }
 
-    // ---- being the holder
+    // ---- ownership
 
     private void renewLease() {
         renewalInFlight = true;
@@ -288,7 +285,7 @@
                     if (renewed) {
                         extendLease(sentAtMillis, sentClockOffsetMillis);
                     } else {
-                        relinquish("its lease has ended");
+                        relinquish("lease expired in the store");
                     }
                 }
                 case CallOutcome.Unknown<Boolean> unknown ->
@@ -311,14 +308,14 @@
         return Math.abs(clockOffsetMillis() - renewalClockOffsetMillis) > MAX_CLOCK_DIVERGENCE_MILLIS;
     }
 
-    /** A call of the duty, sent at a steady time, had no answer. */
+    /** Records that a call of the holder, sent at a steady time, got no answer and may still be executed. */
     void recordUnansweredCall(long sentAtMillis) {
         lastUnansweredCallMillis = Math.max(lastUnansweredCallMillis, sentAtMillis);
     }
 
     /**
-     * Ends the holding, or the try to hold. A node that held the duty leaves it alone for a while, and ends what is left of
-     * its lease, so that another one needn't wait for that.
+     * Gives up ownership or the current election attempt. A former holder revokes its lease, so that a successor need not wait
+     * for the lease to expire, and observes a cooldown.
      */
     void relinquish(String reason) {
         boolean wasHolder = isHolder();
@@ -343,7 +340,7 @@
         }
     }
 
-    /** Gives the duty back for good: the process stops. */
+    /** Gives up ownership for good because the process shuts down. */
     void stop(List<UsageReport> reports) {
         if (isStopped()) {
             return;
@@ -357,7 +354,7 @@
         }
     }
 
-    /** Returns a callback that isn't heard once the duty was lost or the node has stopped. */
+    /** Returns a callback that is ignored once the duty was lost or the node has stopped. */
     private <T> Consumer<CallOutcome<T>> inCurrentEpoch(Consumer<CallOutcome<T>> callback) {
         long callEpoch = epoch;
         return reply -> {
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyEvent.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyEvent.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.core.duty;
 
-/** What moves a node from one {@link DutyState} to the next. */
+/** Events that move a node from one {@link DutyState} to the next. */
 enum DutyEvent {
     ASK,
     GRANTED,
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyListener.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyListener.java
@@ -1,24 +1,24 @@
 package org.tanagerhinge.core.duty;
 
-/** Hears what happens to a duty, for logs and metrics. */
+/** Receives the events of a duty, for logs and metrics. */
 public interface DutyListener {
-    /** This node holds the duty from now on. */
+    /** Called when this node has become the holder. */
     void dutyAcquired(long fencingToken);
 
-    /** This node doesn't hold the duty any more. */
+    /** Called when this node is no longer the holder. */
     void dutyLost(long fencingToken, String reason);
 
     /**
-     * A window's counts are fixed.
+     * Called when the counts of a window have been committed to the store.
      *
-     * @param heard nodes whose counts are complete
-     * @param known nodes that had something to tell
+     * @param completeNodes number of nodes whose counts of the window are complete
+     * @param knownNodes number of nodes that are known, this one included
      */
     void usageCommitted(long fencingToken, UsageCounts counts, int completeNodes, int knownNodes);
 
-    /** A window's report was answered, or had no answer. */
+    /** Called when the report of a window was answered or has failed; {@code outcome} is the answer or the failure. */
     void usageReported(long fencingToken, UsageCounts counts, String outcome, long remainingLeaseMillis);
 
-    /** A window ended unreported. */
+    /** Called when a window will not be reported. */
     void windowMissed(long window, String reason);
 }
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyPeer.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyPeer.java
@@ -1,10 +1,11 @@
 package org.tanagerhinge.core.duty;
 
 /**
- * Another node, as far as it was heard.
+ * Describes another node of the cluster as known from its latest reports.
  *
- * @param incarnation another number after each start of its process
- * @param present whether it was heard of late
- * @param word what it told last of duties
+ * @param name name of the node
+ * @param incarnation distinguishes successive runs of the node's process
+ * @param alive whether a report was received recently
+ * @param announcement its latest announcement about duties
  */
 public record DutyPeer(String name, long incarnation, boolean alive, DutyAnnouncement announcement) {}
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyRecord.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyRecord.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 /**
- * What the store holds of the usage duty.
+ * Holds the state of the usage duty in the metadata store.
  *
- * @param holding who holds it, if anybody does
- * @param holders names of the nodes that held it last, the newest last
- * @param fixed counts that were fixed and may have been reported
- * @param tally what the holder had heard of windows that weren't fixed, when it saved that last
+ * @param ownership claim of the current holder, if there is one
+ * @param recentHolders names of the latest holders, the newest last
+ * @param committedCounts committed counts, which may have been reported already
+ * @param savedReports reports on uncommitted windows that a holder saved last
  */
 public record DutyRecord(
         Optional<Ownership> ownership,
@@ -17,10 +17,10 @@
         List<UsageCounts> committedCounts,
         List<UsageReport> savedReports) {
     /**
-     * A holding as the store has it.
+     * Identifies the current holder.
      *
-     * @param claim the text that the claim wrote, different for each claim
-     * @param token the store's revision of that write
+     * @param claim text that the holder wrote, unique to each claim
+     * @param fencingToken store revision of that write
      */
     public record Ownership(String claim, long fencingToken) {}
 }
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutySettings.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutySettings.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * How duties are done.
+ * Settings of duties on one node.
  *
  * @param node name of this node
- * @param lease how long a holder that renews nothing holds a duty
- * @param rest for how long a node that lost a duty, or has just started, leaves it alone
- * @param fenced whether the platform refuses calls with an older fencing token
- * @param lateCalls how long after it was sent a call without an answer may still be carried out
- * @param window length of a usage window
- * @param lateAfter when the report of a window is late, from the window's end
+ * @param leaseDuration time to live of the holder's lease
+ * @param cooldown how long a node that has lost a duty or has just started does not stand for election
+ * @param fencingEnforced whether the platform rejects calls with an outdated fencing token
+ * @param maxCallDelay how long after sending an unanswered call may still be executed
+ * @param windowLength length of a usage window
+ * @param reportDeadline how long after the end of a window its report is due
  */
 public record DutySettings(
         String node,
@@ -21,7 +21,7 @@
         Duration maxCallDelay,
         Duration windowLength,
         Duration reportDeadline) {
-    /** Windows that are kept in the store after they were reported: longer than any of them may still be reported. */
+    /** Minimum time to keep committed windows in the store; longer than any window may still be reported. */
     private static final Duration RETENTION = Duration.ofMinutes(1);
 
     long leaseMillis() {
@@ -44,17 +44,17 @@
         return reportDeadline.toMillis();
     }
 
-    /** Returns the number of the window in which a moment of true time lies. */
+    /** Returns the number of the window that contains a median-clock time. */
     long windowAt(long epochMillis) {
         return Math.floorDiv(epochMillis, windowMillis());
     }
 
-    /** Returns the moment of true time at which a window ends. */
+    /** Returns the median-clock time at which a window ends, in milliseconds since the Unix epoch. */
     long windowEndMillis(long window) {
         return (window + 1) * windowMillis();
     }
 
-    /** Returns how many windows stay in the store behind the newest one. */
+    /** Returns how many windows before the newest one are kept. */
     long retainedWindows() {
         return (RETENTION.toMillis() + reportDeadlineMillis()) / windowMillis() + 2;
     }
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyState.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyState.java
@@ -1,17 +1,17 @@
 package org.tanagerhinge.core.duty;
 
-/** The states of one node's holding of a duty; the chart is {@code charts/duty.json}. */
+/** States of the election on one node; the transitions are defined in {@code charts/duty.json}. */
 enum DutyState {
-    /** Another node holds the duty, or nobody does. */
+    /** Another node holds the duty, or no node does. */
     IDLE,
-    /** The store was asked for a lease. */
+    /** The duty record is being read and a lease is being requested from the store. */
     LEASING,
-    /** The store was asked for the duty. */
+    /** The claim is being written to the store. */
     CLAIMING,
-    /** The store is asked whether the claim holds, and what holders before have left. */
+    /** The duty record is being read to confirm the claim and to load the state of earlier holders. */
     READING,
-    /** The duty is held and done. */
+    /** This node holds the duty and performs it. */
     HOLDING,
-    /** The node stops: it takes no duty any more. */
+    /** The node is shutting down and no longer takes part in the election. */
     STOPPED
 }
--- a/core/src/main/java/org/tanagerhinge/core/duty/MedianClock.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/MedianClock.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * True time, as the median of the clocks of this host and its peers: the clocks of some hosts may be stepped, and counts must
- * not move into other windows with them. Right as long as fewer than half of the clocks are wrong.
+ * Estimates the wall-clock time as the median over this node's clock and its peers' clocks. A stepped clock on a minority of
+ * hosts therefore does not move counts into another usage window.
  */
 public final class MedianClock {
     private final NodeClock clock;
@@ -17,22 +17,22 @@
         this.clock = clock;
     }
 
-    /** Returns the time of a node that has heard no peer yet: that of its own clock. */
+    /** Returns a median clock that follows {@code clock} alone until peer times are recorded. */
     public static MedianClock of(NodeClock clock) {
         return new MedianClock(clock);
     }
 
-    /** A peer has just told the time of day by its clock. */
+    /** Records the wall-clock time that a peer reported just now. */
     public void recordPeerTime(String peer, long wallClockMillis) {
         peerOffsetsMillis.put(peer, wallClockMillis - clock.steadyMillis());
     }
 
-    /** Forgets peers other than these. */
+    /** Discards the recorded times of all peers that are not in the set. */
     public void retainPeers(Set<String> peers) {
         peerOffsetsMillis.keySet().retainAll(peers);
     }
 
-    /** Returns the true time in milliseconds since the start of 1970, as far as it can be known. */
+    /** Returns the median wall-clock time in milliseconds since the Unix epoch. */
     public long epochMillis() {
         long[] clockOffsetsMillis = new long[peerOffsetsMillis.size() + 1];
         int index = 0;
--- a/core/src/main/java/org/tanagerhinge/core/duty/NodeClock.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/NodeClock.java
@@ -1,13 +1,13 @@
 package org.tanagerhinge.core.duty;
 
 /**
- * The two clocks of a host, in milliseconds. The steady one never jumps but stands still while the host is suspended; the time
- * of day goes on then but may be stepped. Only both together show that a host was suspended.
+ * Provides the steady clock and the wall clock of a host. The steady clock never jumps but stops while the host is suspended;
+ * the wall clock continues but may be stepped. Comparing both reveals a suspension.
  */
 public interface NodeClock {
-    /** Returns the time since some fixed moment before the process began. */
+    /** Returns the milliseconds since an arbitrary fixed point in time before the process started. */
     long steadyMillis();
 
-    /** Returns the time since the start of 1970 by this host's clock. */
+    /** Returns the milliseconds since the Unix epoch by the wall clock of this host. */
     long wallClockMillis();
 }
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageAggregator.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageAggregator.java
@@ -9,11 +9,11 @@
 import java.util.TreeMap;
 
 /**
- * What the holder has heard of all nodes' counts. Reports may come twice, late or out of order: each count is kept at its
- * greatest, so the order doesn't matter.
+ * Aggregates the usage reports of all nodes on the duty holder. Merging keeps the maximum of each cumulative count, so it is
+ * idempotent and independent of the order of reports.
  */
 final class UsageAggregator {
-    /** One run of a node's process. */
+    /** Identifies one run of a node's process. */
     private record Source(String node, long incarnation) {}
 
     private static final class SourceCounts {
@@ -46,14 +46,14 @@
         changed = true;
     }
 
-    /** Returns whether something was heard since this was asked last. */
+    /** Returns whether a report was merged since the previous call, and resets that flag. */
     boolean clearChanged() {
         boolean wasChanged = changed;
         changed = false;
         return wasChanged;
     }
 
-    /** Returns the counts of all nodes together. */
+    /** Returns the sum of the counts of all nodes for a window. */
     UsageCounts counts(long window) {
         TreeMap<String, Long> sums = new TreeMap<>();
         for (SourceCounts sourceCounts : sources.values()) {
@@ -65,18 +65,18 @@
         return new UsageCounts(window, sums);
     }
 
-    /** Returns whether any process counted before a moment of true time. */
+    /** Returns whether any process started counting before a median-clock time. */
     boolean anyStartedBefore(long epochMillis) {
         return sources.values().stream().anyMatch(sourceCounts -> sourceCounts.sinceMillis < epochMillis);
     }
 
-    /** Returns whether the newest process of a node has told all that it counted before a moment of true time. */
+    /** Returns whether a process has reported all of its counts up to a median-clock time. */
     boolean isComplete(String node, long incarnation, long epochMillis) {
         SourceCounts sourceCounts = sources.get(new Source(node, incarnation));
         return sourceCounts != null && (sourceCounts.last || sourceCounts.asOfMillis >= epochMillis);
     }
 
-    /** A window and those before it are fixed: nothing more is kept of them. */
+    /** Marks all windows up to and including this one as committed and drops their counts. */
     void markCommitted(long window) {
         committedThrough = Math.max(committedThrough, window);
         sources.values()
@@ -88,13 +88,13 @@
         return committedThrough;
     }
 
-    /** Forgets processes that counted nothing since a moment of true time. */
+    /** Removes processes without uncommitted counts whose latest report is older than a median-clock time. */
     void removeIdleSources(long epochMillis) {
         sources.values()
                 .removeIf(sourceCounts -> sourceCounts.asOfMillis < epochMillis && sourceCounts.windows.isEmpty());
     }
 
-    /** Returns what was heard of windows that aren't fixed. */
+    /** Returns the merged reports of all processes on uncommitted windows. */
     List<UsageReport> snapshot() {
         List<UsageReport> reports = new ArrayList<>();
         sources.forEach((source, sourceCounts) -> reports.add(new UsageReport(
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageCounter.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageCounter.java
@@ -4,7 +4,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Counts the requests that servers began for one node's callers, until their windows are fixed. */
+/** Counts the requests that servers started for this node's callers, by window and workspace, until the windows are committed. */
 public final class UsageCounter {
     private final DutySettings settings;
     private final MedianClock medianClock;
@@ -22,29 +22,33 @@
         this.sinceMillis = medianClock.epochMillis();
     }
 
-    /** Returns a counter of a process that has just started. */
+    /** Returns a counter that starts counting now. */
     public static UsageCounter of(DutySettings settings, MedianClock medianClock, long incarnation) {
         return new UsageCounter(settings, medianClock, settings.node(), incarnation);
     }
 
-    /** A server has begun a request of a workspace. */
+    /** Records that a server has started a request of a workspace. */
     public void recordStart(String workspace) {
         long window = settings.windowAt(medianClock.epochMillis());
         windows.computeIfAbsent(window, number -> new TreeMap<>()).merge(workspace, 1L, Long::sum);
         startedRequests++;
     }
 
-    /** Returns how many requests were counted since the start. */
+    /** Returns the number of requests counted since the process started. */
     long startedRequests() {
         return startedRequests;
     }
 
-    /** Drops windows up to one: they are fixed, or too old to be reported. */
+    /** Drops the counts of all windows up to and including {@code lastWindow}. */
     void dropThrough(long lastWindow) {
         windows.headMap(lastWindow, true).clear();
     }
 
-    /** Returns the counts of all windows that weren't dropped. */
+    /**
+     * Returns the counts of all windows that have not been dropped.
+     *
+     * @param last whether the process has stopped counting
+     */
     public UsageReport snapshot(boolean last) {
         long nowMillis = medianClock.epochMillis();
         dropThrough(settings.windowAt(nowMillis) - settings.retainedWindows());
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageCounts.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageCounts.java
@@ -5,17 +5,17 @@
 import java.util.TreeMap;
 
 /**
- * The requests of each workspace that servers began in one window.
+ * Counts the requests of each workspace that servers started in one usage window.
  *
- * @param window the window's number
- * @param byWorkspace requests begun, by the name of the workspace
+ * @param window number of the window
+ * @param byWorkspace started requests by workspace name
  */
 public record UsageCounts(long window, SortedMap<String, Long> byWorkspace) {
     public UsageCounts {
         byWorkspace = Collections.unmodifiableSortedMap(new TreeMap<>(byWorkspace));
     }
 
-    /** Returns the requests of all workspaces together. */
+    /** Returns the sum over all workspaces. */
     public long total() {
         return byWorkspace.values().stream().mapToLong(Long::longValue).sum();
     }
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageDuty.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageDuty.java
@@ -6,25 +6,25 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The duty to report to the platform, once for each window, the requests that servers began.
+ * Reports the number of started requests to the platform, once for each usage window, while this node holds the duty.
  *
- * <p>Two different reports for one window are worse than none: counts are fixed in the store before they are sent for the first
- * time, under the condition that nobody has fixed them before and that the holding still stands, and whoever goes on with a
- * window sends exactly these. While the store can't be reached nothing new is reported.
+ * <p>Two different reports for one window must not occur. Counts are therefore committed to the store before they are first
+ * sent, on condition that they were not committed before and that this node is still the holder. A successor sends exactly the
+ * committed counts. While the store is unreachable, no new window is reported.
  */
 public final class UsageDuty {
-    /** After the end of a window, the time in which clocks that differ a little reach it too, in milliseconds. */
+    /** Wait after the end of a window until the clocks of all nodes have reached it. */
     private static final long CLOCK_SKEW_ALLOWANCE_MILLIS = 150;
-    /** Part of the time until a report is late for which silent nodes are waited for. */
+    /** Nodes with incomplete counts are awaited for this fraction of the report deadline, one part in this many. */
     private static final int PEER_WAIT_DIVISOR = 2;
-    /** Time in which the nodes find a new holder and tell it what they have counted, in milliseconds. */
+    /** Time for all nodes to discover a new holder and report to it. */
     private static final long TAKEOVER_GRACE_MILLIS = 1_200;
-    /** How often what was heard is saved, in milliseconds: a holder that is killed takes no more than that with it. */
+    /** Interval between saves of received reports: bounds what is lost if the holder crashes. */
     private static final long SAVE_INTERVAL_MILLIS = 1_000;
 
     /**
-     * Age in seconds from which a process is preferred by power alone: until then calls of the process before it on the same
-     * host may still be carried out, which would count as this one's.
+     * Age from which a process is ranked by host capacity. Before that, calls of the previous process on the same host may
+     * still be executed, and would count as those of this one.
      */
     private static final int MATURE_AGE_SECONDS = 15;
 
@@ -41,7 +41,7 @@
     private final DutyElection election;
     private final long startedAtMillis;
     private UsageAggregator aggregator = UsageAggregator.create();
-    /** Counts that the store was asked to fix and that it hasn't answered for; they must not change any more. */
+    /** Counts whose commit was requested but not confirmed; a retry must send the same counts. */
     private UsageCounts pendingCommit;
 
     private Coverage coverage;
@@ -54,10 +54,10 @@
     private boolean saveInFlight;
     private long nextSaveMillis;
     private long holderSinceMillis;
-    /** Changes whenever the duty is lost: answers to calls that were made before are not heard. */
+    /** Increases whenever the duty is lost, so that callbacks of earlier calls are ignored. */
     private long epoch;
 
-    /** Nodes whose counts are complete, and nodes that are known. */
+    /** Number of nodes whose counts of a window are complete, out of the number of known nodes. */
     private record Coverage(int completeNodes, int knownNodes) {}
 
     private UsageDuty(
@@ -81,7 +81,7 @@
                 settings, clock, client, random, listener, incarnation, this::onDutyAcquired, this::onDutyLost);
     }
 
-    /** Returns the duty of a node that has just started; {@code counter} is its own. */
+    /** Returns the duty of a node that has just started; {@code counter} counts that node's requests. */
     public static UsageDuty of(
             DutySettings settings,
             NodeClock clock,
@@ -94,16 +94,15 @@
         return new UsageDuty(settings, clock, medianClock, client, random, listener, counter, incarnation);
     }
 
-    /** Returns the fencing token if this node holds the duty and can prove it, 0 otherwise: the others may take it then. */
+    /** Returns the fencing token if this node holds the duty and its lease is certain to be valid, 0 otherwise. */
     public long fencingToken() {
         return election.remainingLeaseMillis() > 0 ? election.fencingToken() : 0;
     }
 
     /**
-     * Returns how much this node is to be preferred as a holder: by the power of its host, but older processes first where all
-     * are young.
+     * Returns the rank of this node as a candidate: by host capacity, but by age among processes that started recently.
      *
-     * @param hostPower how well the host could bear a duty, greater is better; 0 if the node takes none
+     * @param hostCapacity capacity of the host for duties, greater is better; 0 if the node is no candidate
      */
     public int preference(int hostCapacity) {
         int ageSeconds = (int) Math.min(MATURE_AGE_SECONDS, (clock.steadyMillis() - startedAtMillis) / 1000);
@@ -111,9 +110,10 @@
     }
 
     /**
-     * Does what is due; to be called several times a second.
+     * Runs the election and, on the holder, commits, reports and saves what is due. Call it several times a second.
      *
-     * @param hostPower how well this host could bear the duty, 0 if the node takes none
+     * @param peers the other nodes
+     * @param hostCapacity capacity of this host for duties, 0 if the node is no candidate
      */
     public void tick(List<DutyPeer> peers, int hostCapacity) {
         election.tick(peers, preference(hostCapacity));
@@ -127,9 +127,9 @@
     }
 
     /**
-     * Takes what a node has counted.
+     * Merges the report of a node.
      *
-     * @return the newest window that is fixed, so that nothing more need be told of it; nothing if this node isn't the holder
+     * @return the newest committed window, whose counts need not be reported again; nothing if this node is not the holder
      */
     public OptionalLong acceptReport(UsageReport report) {
         if (!election.isHolder()) {
@@ -139,7 +139,7 @@
         return OptionalLong.of(aggregator.committedThrough());
     }
 
-    /** Gives the duty back with what was heard: the process stops. */
+    /** Saves the received reports and gives up the duty because the process shuts down. */
     public void stop() {
         aggregator.merge(counter.snapshot(false));
         election.stop(aggregator.snapshot());
@@ -168,7 +168,7 @@
         saveInFlight = false;
     }
 
-    // ---- fixing
+    // ---- committing
 
     private void commitIfDue(List<DutyPeer> peers) {
         if (commitInFlight || clock.steadyMillis() < nextCommitMillis || !election.canCall()) {
@@ -191,7 +191,7 @@
         commit(pendingCommit);
     }
 
-    /** Windows whose report would be late are not reported any more. */
+    /** Skips windows whose report deadline has passed. */
     private void skipExpiredWindows(long nowMillis) {
         long oldest = settings.windowAt(nowMillis - settings.reportDeadlineMillis());
         long first = aggregator.committedThrough() + 1;
@@ -200,7 +200,7 @@
         }
         for (long window = Math.max(first, oldest - settings.retainedWindows()); window < oldest; window++) {
             if (aggregator.anyStartedBefore(settings.windowEndMillis(window))) {
-                listener.windowMissed(window, "was not fixed in time");
+                listener.windowMissed(window, "counts not committed before the report deadline");
             }
         }
         aggregator.markCommitted(oldest - 1);
@@ -214,7 +214,7 @@
                 && (waitExpired || completeNodes(window, peers) > peers.size());
     }
 
-    /** Returns how many nodes, this one among them, have told all that they counted in a window. */
+    /** Returns how many nodes, including this one, have reported all of their counts of a window. */
     private int completeNodes(long window, List<DutyPeer> peers) {
         long endMillis = settings.windowEndMillis(window);
         return 1
@@ -239,7 +239,7 @@
                         DutyClient.CommitResult.AlreadyCommitted(UsageCounts committedBefore)) ->
                     onCommitted(committedBefore);
                 case CallOutcome.Completed<DutyClient.CommitResult>(DutyClient.CommitResult.NotHolder notHolder) ->
-                    election.relinquish("its key has gone");
+                    election.relinquish("ownership key is gone from the store or has another revision");
                 case CallOutcome.Unknown<DutyClient.CommitResult> unknown ->
                     nextCommitMillis =
                             clock.steadyMillis() + INITIAL_BACKOFF_MILLIS + random.nextLong(INITIAL_BACKOFF_MILLIS);
@@ -290,10 +290,10 @@
             case CallOutcome.Completed<DutyClient.ReportResult>(DutyClient.ReportResult result) -> {
                 switch (result) {
                     case ACCEPTED -> finishReport(counts);
-                    case FENCED -> election.relinquish("a higher token was seen");
+                    case FENCED -> election.relinquish("platform has seen a higher fencing token");
                     case LATER -> backOff();
                     case REFUSED -> {
-                        listener.windowMissed(counts.window(), "the platform doesn't accept the report");
+                        listener.windowMissed(counts.window(), "platform rejected the report");
                         finishReport(counts);
                     }
                 }
@@ -329,7 +329,7 @@
             }
             saveInFlight = false;
             if (reply instanceof CallOutcome.Completed<Boolean>(Boolean stillHolder) && !stillHolder) {
-                election.relinquish("its key has gone");
+                election.relinquish("ownership key is gone from the store or has another revision");
             }
         });
     }
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageReport.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageReport.java
@@ -5,14 +5,15 @@
 import java.util.TreeMap;
 
 /**
- * What one node has counted, as it tells the holder. Counts are cumulative, so that a report may be told again or come late.
+ * Holds the usage counts that one node reports to the duty holder. Counts are cumulative, so a report may arrive repeatedly,
+ * late or out of order.
  *
  * @param node name of the node
- * @param incarnation another number after each start of its process
- * @param sinceMillis true time at which the process began to count
- * @param asOfMillis true time up to which it has counted
- * @param last whether it counts no more, since its process ends
- * @param windows counts by workspace, by the number of the window; windows that are fixed may be missing
+ * @param incarnation distinguishes successive runs of the node's process
+ * @param sinceMillis median-clock time at which the process started counting, in milliseconds since the Unix epoch
+ * @param asOfMillis median-clock time up to which the counts are complete, in milliseconds since the Unix epoch
+ * @param last whether the process has stopped counting because it shuts down
+ * @param windows counts by window number and workspace name; committed windows may be missing
  */
 public record UsageReport(
         String node,
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageReporter.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageReporter.java
@@ -6,15 +6,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a node tells the holder what it has counted: soon after the end of each window, and meanwhile so often that a node that
- * is killed takes little with it.
+ * Schedules a node's usage reports to the duty holder: soon after the end of each window, and regularly within a window to
+ * bound the counts that are lost if the node crashes.
  */
 public final class UsageReporter {
-    /** Least time between two reports within a window, in milliseconds. */
+    /** Minimum interval between reports within a window. */
     private static final long MIN_REPORT_INTERVAL_MILLIS = 900;
-    /** The same for each node of the system: bounds what the holder hears in a second. */
+    /** Minimum interval per node of the cluster: bounds the report rate at the holder. */
     private static final long REPORT_INTERVAL_PER_NODE_MILLIS = 30;
-    /** Nodes tell of a window's end spread over this time, in milliseconds. */
+    /** Maximum random delay of the report after the end of a window: spreads the load on the holder. */
     private static final long MAX_JITTER_MILLIS = 250;
 
     private static final long RETRY_DELAY_MILLIS = 200;
@@ -46,7 +46,7 @@
         this.counter = counter;
     }
 
-    /** Returns a teller of a node that has told nothing yet. */
+    /** Returns a reporter that has sent nothing yet. */
     public static UsageReporter of(
             DutySettings settings,
             NodeClock clock,
@@ -56,7 +56,7 @@
         return new UsageReporter(settings, clock, medianClock, random, counter);
     }
 
-    /** Returns the node that seems to hold the duty. */
+    /** Returns the live peer with the highest fencing token, which is the holder as far as this node knows. */
     public static Optional<DutyPeer> findHolder(List<DutyPeer> peers) {
         return peers.stream()
                 .filter(peer -> peer.alive() && peer.announcement().fencingToken() > 0)
@@ -64,9 +64,10 @@
     }
 
     /**
-     * Returns what is to be told now, if anything is.
+     * Returns the report to send to the holder now, or nothing if none is due or one is in flight.
      *
-     * @param last whether the process counts no more
+     * @param nodeCount number of nodes in the cluster
+     * @param last whether the process has stopped counting
      */
     public Optional<UsageReport> pollReport(DutyPeer holder, int nodeCount, boolean last) {
         long nowMillis = clock.steadyMillis();
@@ -93,7 +94,12 @@
                         >= Math.max(MIN_REPORT_INTERVAL_MILLIS, REPORT_INTERVAL_PER_NODE_MILLIS * nodeCount);
     }
 
-    /** The holder of a token has taken a report. */
+    /**
+     * Records that the holder has acknowledged a report.
+     *
+     * @param countAtSend {@link #startedRequests()} when the report was sent
+     * @param committedThrough newest committed window, whose counts need not be reported again
+     */
     public void acknowledged(long holderToken, UsageReport report, long countAtSend, long committedThrough) {
         inFlight = false;
         acknowledgedToken = holderToken;
@@ -104,18 +110,18 @@
         counter.dropThrough(committedThrough);
     }
 
-    /** The holder couldn't be told. */
+    /** Records that a report failed and schedules a retry. */
     public void failed() {
         inFlight = false;
         nextAttemptMillis = clock.steadyMillis() + RETRY_DELAY_MILLIS + random.nextLong(RETRY_DELAY_MILLIS);
     }
 
-    /** Returns whether the holder knows that the process counts no more. */
+    /** Returns whether the holder has acknowledged this process's last report. */
     public boolean lastReportAcknowledged() {
         return lastReportAcknowledged;
     }
 
-    /** Returns how many requests were counted, to be given back once a report was taken. */
+    /** Returns the number of counted requests, to be passed to {@link #acknowledged} with the report sent now. */
     public long startedRequests() {
         return counter.startedRequests();
     }
--- a/core/src/main/java/org/tanagerhinge/core/duty/package-info.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Duties that one node at a time does for the whole system: who holds one, and the usage reports that are one. No input or
- * output here; calls go through {@link org.tanagerhinge.core.duty.DutyClient}.
+ * Duties: tasks that exactly one elected node performs for the whole cluster. Contains the lease-based election of the holder
+ * and the usage reporting duty. Performs no I/O itself; calls go through {@link org.tanagerhinge.core.duty.DutyClient}.
  */
 package org.tanagerhinge.core.duty;
--- a/core/src/test/java/org/tanagerhinge/core/duty/TrueTimeTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/duty/TrueTimeTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a node takes for true time while clocks of some hosts are wrong. */
+/** Tests the median over the clocks of a node and its peers. */
 class TrueTimeTest {
     private static final long TRUE = 1_700_000_000_000L;
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Counts move into another window because this host's clock, or a few peers' ones, were stepped. */
+    /** Guards against counts that move into another window when a minority of clocks is stepped. */
     @ParameterizedTest
     @CsvSource({"2000, 0", "-2000, 0", "0, 2000", "2000, 2000", "-2000, 2000"})
     void clocksThatAreSteppedAreOutvoted(long ownStep, long peersStep) {
--- a/core/src/test/java/org/tanagerhinge/core/duty/UsageTallyTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/duty/UsageTallyTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the holder makes of reports that come twice, late, out of order or from processes that have ended. */
+/** Tests the aggregation of reports that arrive repeatedly, late, out of order or from terminated processes. */
 class UsageTallyTest {
     private static UsageReport report(String node, long incarnation, long asOf, boolean last, long window, long count) {
         SortedMap<Long, SortedMap<String, Long>> windows = new TreeMap<>();
@@ -23,7 +23,7 @@
         return new UsageReport(node, incarnation, 0, asOf, last, windows);
     }
 
-    /** A report that was told again, or came after a newer one, is counted twice or takes counts back. */
+    /** Guards against reports that are counted twice, or reduce counts when they arrive after a newer one. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void theOrderInWhichReportsComeDoesNotMatter(long seed) {
@@ -49,11 +49,11 @@
         successor.mergeAll(tally.snapshot());
         assertEquals(tally.counts(7), successor.counts(7));
         assertEquals(tally.counts(8), successor.counts(8));
-        assertTrue(successor.isComplete("a", 1, 99_000), "a process that has ended tells no more");
+        assertTrue(successor.isComplete("a", 1, 99_000), "the last report of a terminated process is complete for all times");
         assertFalse(successor.isComplete("b", 4, 99_000));
     }
 
-    /** A report that comes after its window was fixed brings the window back. */
+    /** Guards against a late report that reopens a committed window. */
     @Test
     void aFixedWindowTakesNoMoreCounts() {
         UsageAggregator tally = UsageAggregator.create();
