--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyElection.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyElection.java
@@ -23,6 +23,7 @@
     private static final long CANDIDATE_DELAY_MILLIS = 400;
     /** The last fraction of the lease, one part in this many, is not used because calls take time to arrive. */
     private static final int LEASE_MARGIN_DIVISOR = 10;
+
     private static final int RENEWALS_PER_LEASE = 3;
     /** Change of the offset between the clocks above which the host counts as suspended or its clock as stepped. */
     private static final long MAX_CLOCK_DIVERGENCE_MILLIS = 250;
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageAggregator.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageAggregator.java
@@ -23,7 +23,7 @@
         private final TreeMap<Long, SortedMap<String, Long>> windows = new TreeMap<>();
     }
 
-    private final Map<Source, SourceCounts> sources = new HashMap<>();
+    private final Map<Source, SourceCounts> countsBySource = new HashMap<>();
     private long committedThrough = Long.MIN_VALUE;
     private boolean changed;
 
@@ -35,7 +35,7 @@
 
     void merge(UsageReport report) {
         Source source = new Source(report.node(), report.incarnation());
-        SourceCounts sourceCounts = sources.computeIfAbsent(source, unknown -> new SourceCounts());
+        SourceCounts sourceCounts = countsBySource.computeIfAbsent(source, unknown -> new SourceCounts());
         sourceCounts.sinceMillis = report.sinceMillis();
         sourceCounts.asOfMillis = Math.max(sourceCounts.asOfMillis, report.asOfMillis());
         sourceCounts.last |= report.last();
@@ -56,7 +56,7 @@
     /** Returns the sum of the counts of all nodes for a window. */
     UsageCounts counts(long window) {
         TreeMap<String, Long> sums = new TreeMap<>();
-        for (SourceCounts sourceCounts : sources.values()) {
+        for (SourceCounts sourceCounts : countsBySource.values()) {
             sourceCounts
                     .windows
                     .getOrDefault(window, new TreeMap<>())
@@ -67,19 +67,20 @@
 
     /** Returns whether any process started counting before a median-clock time. */
     boolean anyStartedBefore(long epochMillis) {
-        return sources.values().stream().anyMatch(sourceCounts -> sourceCounts.sinceMillis < epochMillis);
+        return countsBySource.values().stream().anyMatch(sourceCounts -> sourceCounts.sinceMillis < epochMillis);
     }
 
     /** Returns whether a process has reported all of its counts up to a median-clock time. */
     boolean isComplete(String node, long incarnation, long epochMillis) {
-        SourceCounts sourceCounts = sources.get(new Source(node, incarnation));
+        SourceCounts sourceCounts = countsBySource.get(new Source(node, incarnation));
         return sourceCounts != null && (sourceCounts.last || sourceCounts.asOfMillis >= epochMillis);
     }
 
     /** Marks all windows up to and including this one as committed and drops their counts. */
     void markCommitted(long window) {
         committedThrough = Math.max(committedThrough, window);
-        sources.values()
+        countsBySource
+                .values()
                 .forEach(sourceCounts ->
                         sourceCounts.windows.headMap(committedThrough, true).clear());
     }
@@ -90,14 +91,15 @@
 
     /** Removes processes without uncommitted counts whose latest report is older than a median-clock time. */
     void removeIdleSources(long epochMillis) {
-        sources.values()
+        countsBySource
+                .values()
                 .removeIf(sourceCounts -> sourceCounts.asOfMillis < epochMillis && sourceCounts.windows.isEmpty());
     }
 
     /** Returns the merged reports of all processes on uncommitted windows. */
     List<UsageReport> snapshot() {
         List<UsageReport> reports = new ArrayList<>();
-        sources.forEach((source, sourceCounts) -> reports.add(new UsageReport(
+        countsBySource.forEach((source, sourceCounts) -> reports.add(new UsageReport(
                 source.node(),
                 source.incarnation(),
                 sourceCounts.sinceMillis,
