--- a/core/src/main/java/org/tanagerhinge/core/agent/AdmissionQueue.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/AdmissionQueue.java
@@ -16,26 +16,26 @@
 import org.tanagerhinge.core.result.ResultCode;
 
 /**
- * The bounded queue of an agent.
+ * Queues the requests of an agent, with admission control, tier-based eviction and guaranteed shares.
  *
- * <p>Two promises meet here. <em>Shedding</em> looks at tiers only: whoever is evicted is never of a higher tier than
- * whoever gains. <em>Dispatch</em> follows tiers too, but each class with work queued earns its guaranteed share of
- * everything dispatched, and is served as soon as that pays for its next run. A class that is owed yields to a higher
- * tier whose next run is about to miss its deadline, for {@link #MAX_YIELD} at a time at the most.
+ * <p><em>Eviction</em> considers tiers only: an evicted run is never of a higher tier than the run that replaces it.
+ * <em>Dispatch</em> follows tiers too, but each class with queued runs accrues credit for its guaranteed share of all
+ * dispatched cost, and is served as soon as the credit covers its next run. Such a class yields to a higher tier whose
+ * next run is about to miss its deadline, for {@link #MAX_YIELD} at most.
  */
 final class AdmissionQueue {
     static final Duration MAX_YIELD = Duration.ofSeconds(1);
-    /** A run past its target is only begun if an answer of several times its expected length fits its deadline. */
+    /** A run past its target is kept only if this multiple of its expected run time fits before its deadline. */
     private static final int LATE_RUN_TIME_FACTOR = 3;
 
     private static final Duration URGENT_TIME_LEFT = Duration.ofMillis(500);
 
-    /** What became of a run that was offered. */
+    /** Reports whether a run was queued. */
     sealed interface AdmissionResult {
-        /** The run is queued; those evicted have left the queue for it. */
+        /** The run is queued; the evicted runs were removed to make room for it. */
         record Admitted(List<Run> evicted) implements AdmissionResult {}
 
-        /** The run is not queued. */
+        /** The run is not queued; the caller may retry after the given time. */
         record Rejected(ResultCode code, Duration retryAfter) implements AdmissionResult {}
     }
 
@@ -65,7 +65,7 @@
         return evictionOrder.isEmpty();
     }
 
-    /** Returns the queued cost of each tier, the first for tier 1. */
+    /** Returns the queued cost of each tier; index 0 is tier 1. */
     List<Long> costByTier() {
         long[] costs = new long[Profile.LOWEST_TIER];
         classes.values().forEach(serviceClass -> costs[serviceClass.terms().tier() - 1] += serviceClass.cost());
@@ -77,9 +77,9 @@
     }
 
     /**
-     * Queues a run, or refuses it at once.
+     * Queues a run, or rejects it at once.
      *
-     * @param throughput what is known of the backend server's pace, to refuse what cannot meet its deadline
+     * @param throughput estimated throughput of the backend server, for rejecting runs that cannot meet their deadline
      */
     AdmissionResult offer(Run run, Instant now, ThroughputEstimate throughput) {
         ServiceClassQueue serviceClass = classes.computeIfAbsent(
@@ -92,7 +92,8 @@
         }
         List<Run> evicted = new ArrayList<>();
         if (serviceClass.size() >= run.work().terms().queueBound()) {
-            // A queue full of runs that are past their targets would turn away those that can still meet theirs.
+            // Evicts a run past its target: a queue full of such runs would reject those that can still meet their
+            // target.
             Optional<Run> latest = serviceClass.lastLateRun();
             if (latest.isEmpty()) {
                 return new AdmissionResult.Rejected(ResultCode.QUEUE_FULL, throughput.retryAfter(serviceClass.cost()));
@@ -111,7 +112,7 @@
         return new AdmissionResult.Admitted(evicted);
     }
 
-    /** Returns whom to evict so that a run fits, nobody if it fits as it is, or empty if it cannot be made to fit. */
+    /** Returns the runs to evict to make room for a run (none if there is room), or empty if no room can be made. */
     private Optional<List<Run>> selectVictims(Run run) {
         List<Run> victims = new ArrayList<>();
         int freeSlots = maxRuns - evictionOrder.size();
@@ -130,13 +131,13 @@
         boolean fits = freeSlots >= 1 && freeBytes >= size(run);
         if (fits) {
             victims.forEach(victim -> monitor.check(
-                    Promise.TIER_ORDER, victim.tier() > run.tier(), () -> victim + " was evicted for " + run));
+                    Promise.TIER_ORDER, victim.tier() > run.tier(), () -> victim + " was evicted in favour of " + run));
             return Optional.of(victims);
         }
         monitor.check(
                 Promise.TIER_ORDER,
                 evictionOrder.stream().allMatch(queued -> queued.tier() <= run.tier() || victims.contains(queued)),
-                () -> run + " was refused while " + evictionOrder.first() + " stayed queued");
+                () -> run + " was rejected while " + evictionOrder.first() + " of a lower tier stayed queued");
         return Optional.empty();
     }
 
@@ -166,7 +167,7 @@
         return costDownToTier(run.tier());
     }
 
-    /** Returns the queued cost of a tier and all above it. */
+    /** Returns the queued cost of a tier and all higher tiers. */
     private long costDownToTier(int tier) {
         return classes.values().stream()
                 .filter(serviceClass -> serviceClass.terms().tier() <= tier)
@@ -175,9 +176,9 @@
     }
 
     /**
-     * Takes the run that is to be dispatched next.
+     * Removes and returns the run to dispatch next.
      *
-     * @param firstOutputLatency how long the first output takes from dispatch on
+     * @param firstOutputLatency expected time from dispatch to the first output
      */
     Optional<Run> takeNext(Instant now, Duration firstOutputLatency) {
         if (isEmpty()) {
@@ -202,7 +203,7 @@
                 .orElseThrow();
     }
 
-    /** Returns the class that has been passed over most often among those whose share pays for their next run. */
+    /** Returns the class that was bypassed most often among those whose credit covers their next run. */
     private Optional<ServiceClassQueue> owedClass() {
         return classes.values().stream()
                 .filter(ServiceClassQueue::isOwed)
@@ -237,7 +238,7 @@
         checkNoStarvation(now, backloggedClasses);
     }
 
-    /** A class whose share pays for its next run is passed over at most once by each other class, but while it yields. */
+    /** Checks that a class whose credit covers its next run is not bypassed over and over, unless it yields. */
     private void checkNoStarvation(Instant now, long backloggedClasses) {
         for (ServiceClassQueue serviceClass : classes.values()) {
             Instant yieldingSince = serviceClass.yieldingSince();
@@ -246,11 +247,11 @@
             monitor.check(
                     Promise.NO_STARVATION,
                     yielding || serviceClass.bypassCount() <= Math.max(classes.size(), backloggedClasses) * 2,
-                    () -> "class " + serviceClass.name() + " was passed over " + serviceClass.bypassCount() + " times");
+                    () -> "class " + serviceClass.name() + " was bypassed " + serviceClass.bypassCount() + " times");
         }
     }
 
-    /** Takes a run out of the queue; returns whether it was queued. */
+    /** Removes a run; returns whether it was queued. */
     boolean remove(Run run) {
         ServiceClassQueue serviceClass = classes.get(run.work().profile());
         if (serviceClass == null || !serviceClass.remove(run)) {
@@ -265,7 +266,7 @@
         queuedBytes -= size(run);
     }
 
-    /** Takes out the runs that cannot meet their deadlines any more. */
+    /** Removes and returns the runs that can no longer meet their deadlines. */
     List<Run> takeUnreachable(Instant now, ThroughputEstimate throughput) {
         List<Run> unreachable = new ArrayList<>();
         for (Run run : List.copyOf(evictionOrder)) {
@@ -280,7 +281,7 @@
         return unreachable;
     }
 
-    /** Takes out everything. */
+    /** Removes and returns all runs. */
     List<Run> takeAll() {
         List<Run> all = new ArrayList<>(evictionOrder);
         all.forEach(this::remove);
--- a/core/src/main/java/org/tanagerhinge/core/agent/AgentCore.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/AgentCore.java
@@ -23,13 +23,13 @@
 import org.tanagerhinge.core.result.ResultCode;
 
 /**
- * Decides everything an agent does, on one thread.
+ * Admits, orders, dispatches and ends the requests of one backend server, as a single-threaded event handler.
  *
- * <p>Every method is an event; what follows from it goes out through the {@link AgentPort}. The same code runs in the
- * daemon, in the random runs and in the benchmark.
+ * <p>Every public {@code on...} method is an event; its effects leave through the {@link AgentPort}. The daemon, the
+ * simulation and the benchmark run the same code.
  */
 public final class AgentCore {
-    /** Stands in a run's output until it is addressed to the attempt of a subscriber. */
+    /** Attempt number in a run's recorded output; replaced by the subscriber's own number when the frame is sent. */
     private static final int NO_ATTEMPT = 0;
 
     private final ServerId serverId;
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Returns the decisions of one agent run.
+     * Creates the core of one agent process.
      *
-     * @param incarnation tells this run of the agent from earlier and later ones
+     * @param incarnation distinguishes this agent process from earlier and later ones of the same server
      */
     public static AgentCore create(
             ServerId serverId,
@@ -113,19 +113,19 @@
         return concurrencyLimit.limit();
     }
 
-    /** Returns the number of routers linked now. */
+    /** Returns the number of connected routers. */
     public int routerCount() {
         return links.count();
     }
 
-    /** Returns whether the agent was told to stop and nothing is left in its hands. */
+    /** Returns whether a planned stop was requested and no run is queued or in flight. */
     public boolean isDrained() {
         return stopping && runsInFlight.isEmpty() && queue.isEmpty();
     }
 
-    // ---- links
+    // ---- router connections
 
-    /** A router has connected. */
+    /** Handles a new connection from a router; replaces connections of earlier incarnations of that router. */
     public void onRouterConnected(RouterId router) {
         links.withSameName(router).forEach(this::onRouterDisconnected);
         links.connect(router);
@@ -133,10 +133,10 @@
     }
 
     /**
-     * A router's connection is gone.
+     * Handles the loss of a router's connection.
      *
-     * <p>Nobody can be given what it waited for. Queued runs leave, idempotent ones are aborted; a non-idempotent one
-     * that has begun goes on, and its result is held for whoever asks with the same key.
+     * <p>Queued runs without another subscriber are cancelled, idempotent ones in flight are aborted. A non-idempotent
+     * run in flight continues, and its result is kept for a later attempt with the same key.
      */
     public void onRouterDisconnected(RouterId router) {
         if (!links.isConnected(router)) {
@@ -161,14 +161,14 @@
             if (run.execution().isPresent()) {
                 flowControl.resume(run);
             } else {
-                abort(run, ResultCode.CALLER_GONE, "nobody waits for it");
+                abort(run, ResultCode.CALLER_GONE, "no caller waits for the answer any more");
             }
         }
     }
 
     // ---- messages
 
-    /** A router has sent a message. */
+    /** Handles a frame from a connected router; frames of unknown routers are ignored. */
     public void onFrame(RouterId router, Frame.FromRouter frame) {
         if (!links.isConnected(router)) {
             return;
@@ -227,7 +227,7 @@
         send(router, new Frame.NotRun(attempt, code, retryAfter, load()));
     }
 
-    /** Answers from what is remembered of an execution; returns false if it never came here. */
+    /** Replies to an attempt from the record of its execution; returns false if the execution is not recorded. */
     private boolean replyFromRecord(RouterId router, long attempt, Execution execution) {
         switch (executions.lookup(execution)) {
             case ExecutionTable.Status.Unseen unseen -> {
@@ -271,8 +271,8 @@
     }
 
     /**
-     * Answers a router that lost its connection while an execution was here, or another router whose caller repeated
-     * the key.
+     * Replies to a router that reconnected while its execution was at this agent, or to another router whose caller
+     * retried with the same idempotency key.
      */
     private void onAttach(RouterId router, Frame.Attach attach) {
         if (attach.incarnation() != incarnation) {
@@ -281,7 +281,7 @@
                     new Frame.Failed(
                             attach.attempt(),
                             ResultCode.OUTCOME_UNKNOWN,
-                            "the agent that was given the request is gone",
+                            "the agent process that received the request has ended",
                             load()));
             return;
         }
@@ -292,7 +292,10 @@
             send(
                     router,
                     new Frame.Failed(
-                            attach.attempt(), ResultCode.OUTCOME_UNKNOWN, "the record may have been dropped", load()));
+                            attach.attempt(),
+                            ResultCode.OUTCOME_UNKNOWN,
+                            "the execution record may have been evicted",
+                            load()));
             return;
         }
         executions.close(attach.execution(), now());
@@ -310,7 +313,7 @@
             flowControl.resume(run);
         } else if (run.subscribers().isEmpty()) {
             if (run.stateMachine().in(RunState.RUNNING)) {
-                abort(run, ResultCode.CALLER_GONE, "its caller hung up");
+                abort(run, ResultCode.CALLER_GONE, "the caller disconnected");
             } else {
                 abandon(run);
                 reject(router, attempt, ResultCode.CALLER_GONE, Duration.ZERO);
@@ -337,7 +340,7 @@
 
     // ---- the backend server
 
-    /** The backend server has answered a plain call's head. */
+    /** Handles the response head of a plain service call. */
     public void onResponseHead(long runId, int status, String contentType) {
         Run run = runsInFlight.get(runId);
         if (run != null) {
@@ -345,7 +348,11 @@
         }
     }
 
-    /** The backend server has produced a piece of an answer. */
+    /**
+     * Handles a piece of output of a run.
+     *
+     * @param units tokens of a model, bytes of a plain service
+     */
     public void onOutput(long runId, long units, byte[] data) {
         Run run = runsInFlight.get(runId);
         if (run == null) {
@@ -370,7 +377,7 @@
         flowControl.update(run);
     }
 
-    /** The backend server has ended an answer as a whole one. */
+    /** Handles the end of a complete answer. */
     public void onCompleted(long runId, String finishReason) {
         Run run = runsInFlight.remove(runId);
         if (run == null) {
@@ -390,9 +397,9 @@
     }
 
     /**
-     * The backend server has failed a run.
+     * Handles the failure of a run at the backend server.
      *
-     * @param reachedBackend false if it provably never got the request
+     * @param reachedBackend false if the backend server provably never received the request
      */
     public void onFailed(long runId, boolean reachedBackend, ResultCode code, String detail) {
         Run run = runsInFlight.remove(runId);
@@ -421,7 +428,7 @@
         broadcastLoad();
     }
 
-    /** The backend server was probed. */
+    /** Handles the result of a health probe. */
     public void onProbeResult(boolean answered) {
         switch (health.recordProbe(answered)) {
             case UNCHANGED -> {}
@@ -444,7 +451,7 @@
         monitor.check(
                 Promise.GRACEFUL_STOP,
                 !stopping || code != ResultCode.ROUTER_STOPPING,
-                () -> run + " was cut off by a planned stop");
+                () -> run + " was aborted by a planned stop");
         fail(run, code, detail);
     }
 
@@ -467,7 +474,7 @@
         }
     }
 
-    // ---- order and limits
+    // ---- dispatch and admission
 
     private void dispatch() {
         while (runsInFlight.size() < concurrencyLimit.limit()) {
@@ -484,7 +491,10 @@
             shed(run, ResultCode.EXPIRED_IN_QUEUE);
             return;
         }
-        monitor.check(Promise.LEAVING_IS_QUIET, isServing(), () -> run + " was dispatched by a leaving agent");
+        monitor.check(
+                Promise.LEAVING_IS_QUIET,
+                isServing(),
+                () -> run + " was dispatched while the server takes no new work");
         run.stateMachine().fire(RunEvent.DISPATCH);
         run.markDispatched(now());
         runsInFlight.put(run.id(), run);
@@ -493,7 +503,7 @@
         port.start(run);
     }
 
-    /** Gives a run that has left the queue back as not run. */
+    /** Reports a run that was removed from the queue as not run. */
     private void shed(Run run, ResultCode code) {
         run.stateMachine().fire(RunEvent.SHED);
         run.execution().ifPresent(execution -> executions.close(execution, now()));
@@ -506,7 +516,8 @@
         boolean measured =
                 !runsInFlight.isEmpty() && options.concurrency() instanceof AgentOptions.ConcurrencyPolicy.Adaptive;
         if (!measured) {
-            // An idle server takes anything: were stale rates believed, nothing would ever measure it anew.
+            // Without work in flight the rates are not refreshed; rejecting on stale rates would keep the server idle
+            // for good.
             return new ThroughputEstimate(0, 0, 1);
         }
         int freeSlots = concurrencyLimit.limit() - runsInFlight.size() - queue.size();
@@ -532,7 +543,7 @@
         return isServing() && !health.isDown();
     }
 
-    /** Returns whether operators want the server to take work. */
+    /** Returns whether operators want the server to serve and no planned stop has begun. */
     private boolean isServing() {
         return !stopping && desiredState() == ServerMark.SERVING;
     }
@@ -541,9 +552,12 @@
         return config.servers().server(serverId).map(BackendServer::mark).orElse(ServerMark.SERVING);
     }
 
-    // ---- configuration, time, stop
+    // ---- configuration, timer, shutdown
 
-    /** A configuration was offered, by the platform's service or a peer; older documents are ignored. */
+    /**
+     * Applies a configuration received from the platform or a router; documents older than the current ones are
+     * ignored.
+     */
     public void applyConfig(ClusterConfig offered) {
         ClusterConfig merged = config.merge(offered);
         ConfigRevision oldRevision = config.revision();
@@ -553,7 +567,7 @@
         monitor.check(
                 Promise.CONFIG_FORWARD,
                 !merged.revision().behind(oldRevision),
-                () -> "revision went from " + oldRevision + " to " + merged.revision());
+                () -> "configuration revision went back from " + oldRevision + " to " + merged.revision());
         boolean wasAccepting = isAccepting();
         config = merged;
         concurrencyLimit.maxMeanGap(minInterTokenTarget());
@@ -580,7 +594,7 @@
         queue.takeAll().forEach(run -> shed(run, code));
     }
 
-    /** Begins a planned stop: queued runs go back to their routers, running ones are finished. */
+    /** Begins a planned stop: queued runs are returned to their routers, runs in flight are completed. */
     public void beginStop() {
         if (stopping) {
             return;
@@ -590,7 +604,7 @@
         broadcastLoad();
     }
 
-    /** Time has passed; called several times a second. */
+    /** Handles a timer tick; called several times a second. */
     public void onTick() {
         Instant now = now();
         boolean saturated = runsInFlight.size() >= concurrencyLimit.limit();
@@ -616,7 +630,8 @@
                 overdue.add(run);
             }
         }
-        overdue.forEach(run -> abort(run, ResultCode.ANSWER_TOO_LATE, "its deadline has passed"));
+        overdue.forEach(
+                run -> abort(run, ResultCode.ANSWER_TOO_LATE, "the deadline passed while the request was running"));
     }
 
     private void sendStatus(RouterId router) {
@@ -632,7 +647,7 @@
         return clock.instant();
     }
 
-    /** Returns whether the backend server is taken for able to work. */
+    /** Returns whether the backend server is considered able to serve requests. */
     public boolean isBackendHealthy() {
         return !health.isDown();
     }
--- a/core/src/main/java/org/tanagerhinge/core/agent/AgentOptions.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/AgentOptions.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * The settings that bound an agent.
+ * Holds the limits and intervals of an agent.
  *
- * @param maxQueuedRequests requests queued in all
- * @param maxQueuedBytes bytes of request bodies queued in all
- * @param creditWindowUnits units sent ahead of a caller before the backend server's stream is paused
+ * @param maxQueuedRequests maximum number of queued requests over all classes
+ * @param maxQueuedBytes maximum total size of the queued request bodies, in bytes
+ * @param creditWindowUnits units that may be sent ahead of a caller before reading from the backend server is paused
  * @param recordTtl how long a non-idempotent request and its result are remembered
- * @param maxRecords requests remembered at the most
- * @param maxRecordBytes bytes of results remembered at the most
- * @param heartbeatInterval how often a silent link shows a sign of life
- * @param deadlineGrace how long past its deadline a run may go on when its router has not cancelled it
- * @param concurrency how the number of requests at the backend server is bounded
+ * @param maxRecords maximum number of remembered requests
+ * @param maxRecordBytes maximum total size of the remembered results, in bytes
+ * @param heartbeatInterval maximum time between two load reports to a router
+ * @param deadlineGrace how long a run may continue past its deadline if its router has not cancelled it
+ * @param concurrency how the number of requests at the backend server is limited
  */
 public record AgentOptions(
         int maxQueuedRequests,
@@ -26,16 +26,18 @@
         Duration deadlineGrace,
         ConcurrencyPolicy concurrency) {
 
-    /** How the number of requests at the backend server is bounded. */
+    /** Selects how the number of requests at the backend server is limited. */
     public sealed interface ConcurrencyPolicy {
-        /** Found from the measured rate, starting at a number. */
+        /** Adapts the limit to the measured throughput, between 1 and {@code maxLimit}. */
         record Adaptive(int initialLimit, int maxLimit) implements ConcurrencyPolicy {}
 
-        /** Not bounded at all: the naive version that the product is measured against. */
+        /** Sets no limit; the baseline of the benchmark. */
         record Unbounded() implements ConcurrencyPolicy {}
     }
 
-    /** Returns the defaults: 1,024 requests and 64 MiB queued, results kept for an hour, an adaptive limit. */
+    /**
+     * Returns the defaults: 1,024 requests and 64 MiB queued, results kept for an hour, an adaptive concurrency limit.
+     */
     public static AgentOptions defaults() {
         return new AgentOptions(
                 1024,
@@ -49,7 +51,7 @@
                 new ConcurrencyPolicy.Adaptive(8, 512));
     }
 
-    /** Returns these options with another way of bounding concurrency. */
+    /** Returns these options with another concurrency policy. */
     public AgentOptions withConcurrency(ConcurrencyPolicy newConcurrency) {
         return new AgentOptions(
                 maxQueuedRequests,
@@ -63,7 +65,7 @@
                 newConcurrency);
     }
 
-    /** Returns these options with other bounds of the queue. */
+    /** Returns these options with other queue limits. */
     public AgentOptions withQueue(int newMaxQueuedRequests, long newMaxQueuedBytes) {
         return new AgentOptions(
                 newMaxQueuedRequests,
--- a/core/src/main/java/org/tanagerhinge/core/agent/AgentPort.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/AgentPort.java
@@ -4,26 +4,30 @@
 import org.tanagerhinge.core.id.RouterId;
 import org.tanagerhinge.core.message.Frame;
 
-/** What an agent's decisions ask of the world. Calls return at once; nothing calls back before they return. */
+/** Performs the I/O that {@link AgentCore} requests. Calls return at once and do not call back before they return. */
 public interface AgentPort {
-    /** Sends a message to a router, if it is linked. */
+    /** Sends a frame to a router; does nothing if the router is not connected. */
     void send(RouterId router, Frame.FromAgent frame);
 
-    /** Starts a run at the backend server; its output comes back as events that name the run's id. */
+    /** Starts a run at the backend server; its output arrives as {@link AgentCore} events with the run's id. */
     void start(Run run);
 
-    /** Ends a run at the backend server; events of the run that are still on their way are ignored. */
+    /** Aborts a run at the backend server; later events of the run are ignored. */
     void abort(long runId);
 
-    /** Asks the backend server for a sign of life; the answer comes back as {@link AgentCore#onProbeResult}. */
+    /** Sends a health probe to the backend server; the result arrives as {@link AgentCore#onProbeResult}. */
     void probe();
 
-    /** Stops, or goes on, reading a run's output from the backend server. */
+    /** Pauses or resumes reading a run's output from the backend server. */
     void setPaused(long runId, boolean paused);
 
-    /** Counts a refusal, shed or failure by its reason. */
+    /**
+     * Increments the counter of a rejection, failure or backend state change.
+     *
+     * @param reason label of the counter, for example {@code refused_queue_full}
+     */
     void count(String reason);
 
-    /** Tells that a newer configuration was applied. */
+    /** Reports that a newer configuration was applied. */
     void configApplied(ClusterConfig config);
 }
--- a/core/src/main/java/org/tanagerhinge/core/agent/BackendEvent.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/BackendEvent.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.core.agent;
 
-/** What moves a backend server from state to state. */
+/** Lists the events that change the state of a backend server; the chart is {@code charts/backend.json}. */
 enum BackendEvent {
     FAIL,
     ANSWER
--- a/core/src/main/java/org/tanagerhinge/core/agent/BackendHealth.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/BackendHealth.java
@@ -6,17 +6,17 @@
 import org.tanagerhinge.core.chart.StateChart;
 
 /**
- * Notices that the backend server fails instead of answering.
+ * Detects a backend server that fails requests instead of serving them.
  *
- * <p>A crashed server fails each request at once, so it looks idle and fast and draws more and more of them; requests
- * that must not run twice are lost to it one after the other. After a failure without any answer in between it gets no
- * work until it answers a probe.
+ * <p>A crashed server fails each request at once, so it looks idle and fast and attracts ever more requests;
+ * non-idempotent requests among them are lost. After {@link #MAX_CONSECUTIVE_FAILURES} failures without output in
+ * between, the server gets no work until it answers a probe.
  */
 final class BackendHealth {
     private static final StateChart<BackendState, BackendEvent> CHART =
             StateChart.load("backend", BackendState.class, BackendEvent.class);
     private static final Duration PROBE_INTERVAL = Duration.ofMillis(250);
-    /** A single failed run may be the run's fault; a second one without any output in between is the server's. */
+    /** One failure may be caused by the request itself; a second one without output in between indicates the server. */
     private static final int MAX_CONSECUTIVE_FAILURES = 2;
 
     private final Machine<BackendState, BackendEvent> stateMachine = CHART.start();
@@ -28,16 +28,16 @@
         return stateMachine.in(BackendState.DOWN);
     }
 
-    /** Notes output of any run. */
+    /** Records that a run produced output. */
     void recordOutput() {
         consecutiveFailures = 0;
         suspect = false;
     }
 
     /**
-     * Notes a failed run; returns whether the server is now taken for down and was not before.
+     * Records a failed run; returns whether the server went down by it.
      *
-     * @param reached false if not even a connection was made
+     * @param reached false if no connection to the server was made
      */
     boolean recordFailure(boolean reached) {
         consecutiveFailures++;
@@ -49,7 +49,7 @@
         return !wasDown && isDown();
     }
 
-    /** Returns whether a probe should be sent now: to a server that is down, and to one that has just failed a run. */
+    /** Returns whether a probe is due for a server that is down or has just failed a run; if so, records its start. */
     boolean startProbeIfDue(Instant now) {
         boolean due = (isDown() || suspect)
                 && (lastProbeAt.equals(Instant.MIN)
@@ -60,7 +60,7 @@
         return due;
     }
 
-    /** Notes the answer to a probe; returns what it changed. */
+    /** Records the result of a probe; returns its effect on the server's state. */
     ProbeEffect recordProbe(boolean answered) {
         suspect = false;
         if (answered == !isDown()) {
@@ -71,7 +71,7 @@
         return answered ? ProbeEffect.UP : ProbeEffect.DOWN;
     }
 
-    /** What a probe changed. */
+    /** Describes the effect of a probe on the server's state. */
     enum ProbeEffect {
         UNCHANGED,
         UP,
--- a/core/src/main/java/org/tanagerhinge/core/agent/BackendState.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/BackendState.java
@@ -1,9 +1,9 @@
 package org.tanagerhinge.core.agent;
 
-/** How an agent regards its backend server; the chart is {@code charts/backend.json}. */
+/** Lists the states of a backend server as its agent sees it; the chart is {@code charts/backend.json}. */
 enum BackendState {
-    /** Takes work. */
+    /** Receives requests. */
     HEALTHY,
-    /** Failed without any answer; gets no work until a probe is answered. */
+    /** Failed repeatedly without output; receives no requests until it answers a probe. */
     DOWN
 }
--- a/core/src/main/java/org/tanagerhinge/core/agent/ConcurrencyLimit.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/ConcurrencyLimit.java
@@ -6,35 +6,35 @@
 import java.util.TreeMap;
 
 /**
- * Bounds how many requests are at the backend server at once.
+ * Limits the number of requests at the backend server.
  *
- * <p>Work handed to an engine cannot be taken back or put in another order, so no more is handed over than the engine
- * needs to run at a good rate. A batch beyond the knee of the engine's rate curve adds little rate and makes every
- * stream slower; the knee is where the rate grows by less than {@link Adaptive#MIN_ELASTICITY} percent for one
- * percent more requests. It is found by measuring, since it differs by engine, model and mix.
+ * <p>Requests handed to an engine can no longer be reordered or returned, so only as many are handed over as the
+ * engine needs for a good throughput. A batch beyond the knee of the engine's throughput curve adds little throughput
+ * and slows every stream; the knee is where the throughput grows by less than {@link Adaptive#MIN_ELASTICITY} percent
+ * per percent of additional requests. It is measured, since it differs by engine, model and workload.
  */
 sealed interface ConcurrencyLimit {
-    /** Returns how many requests may be at the backend server. */
+    /** Returns the maximum number of requests at the backend server. */
     int limit();
 
-    /** Notes units produced by the backend server. */
+    /** Records units produced by the backend server. */
     void recordOutput(long units);
 
-    /** Notes the time between two pieces of output of one stream. */
+    /** Records the gap between two pieces of output of one stream. */
     void recordGap(Duration gap);
 
     /**
-     * Ends a measuring window if it is due.
+     * Ends the measurement window if it is due.
      *
-     * @param saturated whether the limit was reached and work was queued, which is when the rate says something about
+     * @param saturated whether the limit is reached and requests are queued; only then does the throughput depend on
      *     the limit
      */
     void tick(Instant now, boolean saturated);
 
-    /** Sets the mean time between tokens that must not be exceeded; zero for none. */
+    /** Sets the maximum mean gap between tokens; zero for none. */
     void maxMeanGap(Duration maxMeanGap);
 
-    /** Returns a limit of the kind that options ask for. */
+    /** Creates the limit that a policy selects. */
     static ConcurrencyLimit of(AgentOptions.ConcurrencyPolicy policy) {
         return switch (policy) {
             case AgentOptions.ConcurrencyPolicy.Adaptive adaptive ->
@@ -43,7 +43,7 @@
         };
     }
 
-    /** No bound. */
+    /** Sets no limit. */
     final class Unbounded implements ConcurrencyLimit {
         @Override
         public int limit() {
@@ -63,7 +63,7 @@
         public void maxMeanGap(Duration maxMeanGap) {}
     }
 
-    /** Climbs the measured rate curve to its knee and follows it when it moves. */
+    /** Adapts the limit to the knee of the measured throughput curve. */
     final class Adaptive implements ConcurrencyLimit {
         static final double MIN_ELASTICITY = 0.3;
         private static final Duration WINDOW = Duration.ofMillis(500);
@@ -76,7 +76,7 @@
         private static final double GAP_MARGIN = 0.9;
         private static final int MIN_GAP_SAMPLES = 8;
 
-        /** A measured rate at one limit. */
+        /** Holds the smoothed throughput at one limit. */
         private record RateSample(double unitsPerSecond, Instant measuredAt) {}
 
         private final int maxLimit;
@@ -158,13 +158,13 @@
             Map.Entry<Integer, RateSample> reference = rateByLimit.floorEntry((int) (limit * REFERENCE_RATIO));
             boolean referenceExpired = reference == null && kneeFound && rateByLimit.higherKey(limit) == null;
             if (referenceExpired) {
-                // Nothing is known any more of smaller limits: look at one, or the limit would only ever grow.
+                // All samples at smaller limits have expired: without a new one the limit would only grow.
                 limit = Math.max(1, (int) (limit * REFERENCE_RATIO));
             } else if (reference != null && elasticity(reference) < MIN_ELASTICITY) {
                 kneeFound = true;
                 limit = Math.max(1, (int) (limit * DECREASE_FACTOR));
             } else {
-                // Until the knee was met once the limit opens fast, or the first burst waits for it.
+                // Grows fast until the knee is first found, so that the first burst does not wait for the limit.
                 int divisor = kneeFound ? GROWTH_DIVISOR : INITIAL_GROWTH_DIVISOR;
                 limit = Math.min(maxLimit, limit + Math.max(1, limit / divisor));
             }
--- a/core/src/main/java/org/tanagerhinge/core/agent/ExecutionTable.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/ExecutionTable.java
@@ -16,30 +16,30 @@
 import org.tanagerhinge.core.result.ResultCode;
 
 /**
- * Remembers the non-idempotent requests that this agent was given, so that none begins twice here and a result whose
- * way back was cut can be fetched again.
+ * Records the non-idempotent requests given to this agent, so that each runs at most once and a lost result can be
+ * fetched again.
  *
- * <p>Without it, a router that lost its connection could neither send the request again (it may have run) nor tell the
- * caller what became of it. Results are kept within bounds of count, bytes and time; the oldest go first, and a request
- * whose result was dropped is answered "outcome unknown", never run again.
+ * <p>Without it, a router that lost its connection could neither resend the request, which may have run, nor report
+ * its outcome to the caller. Records are limited by count, bytes and age and evicted oldest first. A request whose
+ * result was evicted is answered with {@link ResultCode#OUTCOME_UNKNOWN} and not run again.
  */
 final class ExecutionTable {
 
-    /** What is known of an execution. */
+    /** Describes the recorded state of an execution. */
     sealed interface Status {
-        /** Nothing: it never came here. */
+        /** The execution is not recorded: it never arrived here. */
         record Unseen() implements Status {}
 
-        /** It is queued or running. */
+        /** The execution is queued or running. */
         record Active(Run run) implements Status {}
 
-        /** It ended with a whole answer, which is still held. */
+        /** The execution completed, and its answer is kept. */
         record Completed(List<Frame.FromAgent> answer) implements Status {}
 
-        /** It began and its answer is not held. */
+        /** The execution started, and its answer is not available. */
         record ResultUnavailable(ResultCode code, String detail) implements Status {}
 
-        /** It did not begin, and this and earlier generations never will. */
+        /** The execution did not start, and neither it nor an earlier generation ever will. */
         record Closed() implements Status {}
     }
 
@@ -75,7 +75,7 @@
         return entries.size();
     }
 
-    /** Returns what is known of an execution; a generation closed earlier counts as closed. */
+    /** Returns the status of an execution; generations before a closed one count as closed. */
     Status lookup(Execution execution) {
         Entry entry = entries.get(execution.digest());
         if (entry == null) {
@@ -87,25 +87,25 @@
         return entry.status;
     }
 
-    /** Takes in a run that is now queued. */
+    /** Records a run that was queued. */
     void recordQueued(Run run, Instant now) {
         Execution execution = run.execution().orElseThrow();
         entries.remove(execution.digest());
         entries.put(execution.digest(), new Entry(now, execution.generation(), new Status.Active(run)));
     }
 
-    /** Notes that a run begins at the backend server. */
+    /** Records that a run starts at the backend server; checks that it is the recorded one. */
     void recordStart(Run run) {
         Entry entry = entries.get(run.execution().orElseThrow().digest());
         boolean permitted = entry != null && entry.status instanceof Status.Active(Run active) && active == run;
-        monitor.check(Promise.AT_MOST_ONCE, permitted, () -> run + " begins although " + describe(entry));
+        monitor.check(Promise.AT_MOST_ONCE, permitted, () -> run + " starts although " + describe(entry));
     }
 
     private static String describe(Entry entry) {
-        return entry == null ? "nothing is recorded" : "the record says " + entry.status;
+        return entry == null ? "its execution is not recorded" : "its recorded status is " + entry.status;
     }
 
-    /** Closes a generation: it did not begin and never will. */
+    /** Closes a generation, which has not started, so that it never will. */
     void close(Execution execution, Instant now) {
         Entry entry = entries.get(execution.digest());
         boolean began = entry != null
@@ -116,14 +116,14 @@
                     case Status.Unseen unseen -> false;
                     case Status.Closed closed -> false;
                 };
-        monitor.check(Promise.NOT_RUN_IS_TRUE, !began, () -> execution + " is closed but " + describe(entry));
+        monitor.check(Promise.NOT_RUN_IS_TRUE, !began, () -> execution + " is closed although " + describe(entry));
         long generation = Math.max(execution.generation(), entry == null ? 0 : entry.generation);
         dropOutput(entry);
         entries.remove(execution.digest());
         entries.put(execution.digest(), new Entry(now, generation, new Status.Closed()));
     }
 
-    /** Holds a piece of output of a running execution. */
+    /** Records a piece of output of a running execution. */
     void recordOutput(Run run, Frame.FromAgent frame) {
         Entry entry = entries.get(run.execution().orElseThrow().digest());
         if (entry == null) {
@@ -135,13 +135,13 @@
         outputBytes += size;
     }
 
-    /** Returns the output of a live run so far. */
+    /** Returns the recorded output of an active run. */
     List<Frame.FromAgent> outputSoFar(Run run) {
         Entry entry = entries.get(run.execution().orElseThrow().digest());
         return entry == null ? List.of() : List.copyOf(entry.output);
     }
 
-    /** Notes that a run ended with a whole answer. */
+    /** Records that a run ended with a complete answer. */
     void recordCompletion(Run run, Frame.FromAgent done) {
         recordOutput(run, done);
         Entry entry = entries.get(run.execution().orElseThrow().digest());
@@ -150,7 +150,7 @@
         }
     }
 
-    /** Notes that a run began and has no whole answer. */
+    /** Records that a run started and ended without a complete answer. */
     void recordFailure(Run run, ResultCode code, String detail) {
         Entry entry = entries.get(run.execution().orElseThrow().digest());
         if (entry != null) {
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Drops what is over the bounds, oldest first, but never what is still live. */
+    /** Evicts records over the limits, oldest first; active runs are kept. */
     void evict(Instant now) {
         Iterator<Entry> oldestFirst = entries.values().iterator();
         while (oldestFirst.hasNext()) {
@@ -174,7 +174,7 @@
                 dropOutput(entry);
                 if (entry.status instanceof Status.Completed) {
                     entry.status =
-                            new Status.ResultUnavailable(ResultCode.OUTCOME_UNKNOWN, "the result is no longer held");
+                            new Status.ResultUnavailable(ResultCode.OUTCOME_UNKNOWN, "the stored result was evicted");
                 }
             } else {
                 return;
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Returns whether a record may have been dropped for want of room rather than for its age. */
+    /** Returns whether a record may have been evicted for the record limit rather than for its age. */
     boolean isFull() {
         return entries.size() >= maxEntries;
     }
--- a/core/src/main/java/org/tanagerhinge/core/agent/FlowControl.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/FlowControl.java
@@ -1,8 +1,8 @@
 package org.tanagerhinge.core.agent;
 
-/** Stops reading from the backend server while a caller is far behind, so that nothing piles up on the way. */
+/** Pauses reading from the backend server while a caller is far behind, to bound the output buffered on the way. */
 final class FlowControl {
-    /** Bytes of a plain service's answer that count as one unit of credit. */
+    /** Bytes of a plain service's answer per unit of credit. */
     private static final int SERVICE_BYTES_PER_UNIT = 1024;
 
     private final AgentPort port;
@@ -13,7 +13,7 @@
         this.creditWindowUnits = creditWindowUnits;
     }
 
-    /** Stops or goes on with reading a run's output, by how far the slowest of its subscribers is behind. */
+    /** Pauses or resumes a run by the outstanding units of its slowest subscriber. */
     void update(Run run) {
         if (!run.stateMachine().in(RunState.RUNNING)) {
             return;
@@ -26,7 +26,7 @@
         setPaused(run, run.paused() ? outstandingUnits > window / 2 : outstandingUnits > window);
     }
 
-    /** Goes on with reading, whoever is behind. */
+    /** Resumes a run regardless of its subscribers. */
     void resume(Run run) {
         setPaused(run, false);
     }
--- a/core/src/main/java/org/tanagerhinge/core/agent/RouterLinks.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/RouterLinks.java
@@ -11,7 +11,7 @@
 import org.tanagerhinge.core.id.RouterId;
 import org.tanagerhinge.core.message.Frame;
 
-/** The routers that are connected to an agent, and the attempts of each that the agent holds. */
+/** Tracks the routers connected to an agent and the runs of each router's attempts. */
 final class RouterLinks {
     private final AgentPort port;
     private final InstantSource clock;
@@ -35,7 +35,7 @@
         return List.copyOf(runsByAttempt.keySet());
     }
 
-    /** Returns connected routers of the same name: earlier incarnations of one. */
+    /** Returns the connected routers with the same name: other incarnations of the same router. */
     List<RouterId> withSameName(RouterId router) {
         return runsByAttempt.keySet().stream()
                 .filter(other -> other.name().equals(router.name()))
@@ -46,14 +46,16 @@
         runsByAttempt.put(router, new HashMap<>());
     }
 
-    /** Forgets a router; returns the runs of its attempts, which stay the caller's to end, if it was connected. */
+    /**
+     * Removes a router; returns the runs of its attempts, which the caller has to end. Empty if it was not connected.
+     */
     Collection<Run> disconnect(RouterId router) {
         loadReportedAt.remove(router);
         Map<Long, Run> routerRuns = runsByAttempt.remove(router);
         return routerRuns == null ? List.of() : routerRuns.values();
     }
 
-    /** Notes that a router's attempt is served by a run. */
+    /** Records that a router's attempt is served by a run. */
     void attach(RouterId router, long attempt, Run run) {
         runsByAttempt.get(router).put(attempt, run);
     }
@@ -66,7 +68,7 @@
         return Optional.ofNullable(runsByAttempt.get(router).remove(attempt));
     }
 
-    /** Forgets the attempts that a run served; it has no subscribers afterwards. */
+    /** Removes all attempts served by a run, and the run's subscribers. */
     void detachAll(Run run) {
         for (Subscriber subscriber : run.subscribers()) {
             Map<Long, Run> routerRuns = runsByAttempt.get(subscriber.router());
@@ -77,7 +79,7 @@
         run.subscribers().clear();
     }
 
-    /** Returns the routers that have not been told the load for a time. */
+    /** Returns the routers whose last load report is at least the interval ago. */
     List<RouterId> loadReportDue(Duration interval) {
         Instant now = clock.instant();
         return runsByAttempt.keySet().stream()
--- a/core/src/main/java/org/tanagerhinge/core/agent/Run.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/Run.java
@@ -12,12 +12,12 @@
 import org.tanagerhinge.core.message.Frame.Submit;
 import org.tanagerhinge.core.message.Work;
 
-/** One attempt in an agent's hands, from its arrival to its end. */
+/** Tracks one attempt at an agent from its arrival to its end. */
 public final class Run {
     private static final StateChart<RunState, RunEvent> CHART = StateChart.load("run", RunState.class, RunEvent.class);
-    /** A prompt token costs the engine this many times less than a generated one. */
+    /** Prompt tokens that cost the engine as much as one generated token. */
     private static final long PROMPT_TOKENS_PER_COST_UNIT = 16;
-    /** A run that outlives its expected length is expected to go on for this part of what it has produced. */
+    /** A run past its expected length is expected to produce another 1/n of what it has produced. */
     private static final int OVERRUN_DIVISOR = 4;
 
     private final long id;
@@ -39,12 +39,12 @@
         this.producedUnits = submit.resumeFrom();
     }
 
-    /** Returns the number by which the agent's backend client names the run. */
+    /** Returns the number that identifies the run to the agent's backend client. */
     public long id() {
         return id;
     }
 
-    /** Returns what the router asked for. */
+    /** Returns the router's request. */
     public Submit submit() {
         return submit;
     }
@@ -65,7 +65,7 @@
         return deadline;
     }
 
-    /** Returns when the run must be dispatched to meet its target, given how long first output takes after that. */
+    /** Returns the latest dispatch time that meets the run's target, given the expected latency of the first output. */
     Instant latestDispatch(Duration firstOutputLatency) {
         Duration target = work().terms().startTarget();
         return target.isZero() ? deadline : arrivedAt.plus(target).minus(firstOutputLatency);
@@ -91,7 +91,7 @@
         return work().call() instanceof Call.ServiceCall;
     }
 
-    /** Returns what the run is expected to cost its backend server, in generated tokens, or calls of a plain service. */
+    /** Returns the expected cost at the backend server, in generated tokens, or in calls for a plain service. */
     long cost() {
         if (isService()) {
             return 1;
@@ -99,7 +99,7 @@
         return Math.max(1, submit.expectedUnits() + work().promptUnits() / PROMPT_TOKENS_PER_COST_UNIT);
     }
 
-    /** Returns the cost that is expected still to come. */
+    /** Returns the expected cost of the output still to come. */
     long remainingCost() {
         if (isService()) {
             return 1;
@@ -124,7 +124,7 @@
         dispatchedAt = now;
     }
 
-    /** Notes output, and returns the time since the output before it, or empty for the first. */
+    /** Records output; returns the time since the previous output, or empty for the first. */
     Optional<Duration> recordOutput(long units, Instant now) {
         Optional<Duration> gap = Optional.ofNullable(lastOutputAt).map(last -> Duration.between(last, now));
         producedUnits += units;
--- a/core/src/main/java/org/tanagerhinge/core/agent/RunEvent.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/RunEvent.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.core.agent;
 
-/** What moves a run from state to state. */
+/** Lists the events that change the state of a run; the chart is {@code charts/run.json}. */
 enum RunEvent {
     DISPATCH,
     SHED,
--- a/core/src/main/java/org/tanagerhinge/core/agent/RunState.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/RunState.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.core.agent;
 
-/** The states of a run; the chart is {@code charts/run.json}. */
+/** Lists the states of a run; the chart is {@code charts/run.json}. */
 enum RunState {
     QUEUED,
     RUNNING,
--- a/core/src/main/java/org/tanagerhinge/core/agent/ServiceClassQueue.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/ServiceClassQueue.java
@@ -13,22 +13,22 @@
 import org.tanagerhinge.core.message.ClassTerms;
 
 /**
- * The queued runs of one class.
+ * Orders the queued runs of one service class (a profile) and accounts for the class's guaranteed share.
  *
  * <p>Between workspaces the order is start-time fair queueing by cost, so that a workspace with many requests does not
- * crowd out one with few; within a workspace it is earliest deadline first. A run that can no longer meet its target
- * goes behind all that still can: were it served in its turn, under a long burst each run would be served just after its
- * target, and none would meet it.
+ * crowd out one with few; within a workspace it is earliest deadline first. Runs that can no longer meet their target
+ * are served last: served in turn during a long burst, each run would be dispatched just after its target and all
+ * would miss it.
  */
 final class ServiceClassQueue {
-    /** No class is without a guaranteed share, or a long burst of a higher tier would starve it. */
+    /** Minimum share of every class; without it a long burst of a higher tier starves the class. */
     private static final double MIN_SHARE_PERCENT = 1;
 
     private static final double PERCENT = 100;
     private static final Comparator<Run> BY_DEADLINE =
             Comparator.comparing(Run::deadline).thenComparing(Run::id);
 
-    /** One workspace's runs and its virtual start time. */
+    /** Holds the queued runs of one workspace and its virtual start time. */
     private static final class WorkspaceQueue {
         private final PriorityQueue<Run> runs = new PriorityQueue<>(BY_DEADLINE);
         private final WorkspaceId workspace;
@@ -41,11 +41,11 @@
     }
 
     private final ProfileName name;
-    /** Runs that have missed their target and still have time until their deadline. */
+    /** Runs that can no longer meet their target but may still meet their deadline. */
     private final PriorityQueue<Run> lateRuns = new PriorityQueue<>(BY_DEADLINE);
 
     private final Map<WorkspaceId, WorkspaceQueue> queueByWorkspace = new HashMap<>();
-    /** Start times of lanes that ran empty while ahead of the others. */
+    /** Virtual start times of workspaces whose queue ran empty while ahead of the others. */
     private final Map<WorkspaceId, Double> virtualStartOfEmptied = new HashMap<>();
 
     private final TreeSet<WorkspaceQueue> byVirtualStart =
@@ -85,7 +85,7 @@
         return size == 0;
     }
 
-    /** Returns the summed cost of the queued runs. */
+    /** Returns the total cost of the queued runs. */
     long cost() {
         return cost;
     }
@@ -108,7 +108,7 @@
         cost += run.cost();
     }
 
-    /** Moves the runs at the head that can no longer meet their targets behind the others. */
+    /** Moves runs at the head of the order that can no longer meet their target to the late runs. */
     void demoteLate(Instant now, Duration firstOutputLatency) {
         while (!byVirtualStart.isEmpty()
                 && byVirtualStart
@@ -121,24 +121,24 @@
         }
     }
 
-    /** Returns the run that is past its target and will be served last, if there is one. */
+    /** Returns the late run with the latest deadline, if any. */
     Optional<Run> lastLateRun() {
         return lateRuns.stream().max(BY_DEADLINE);
     }
 
-    /** Returns whether a run is among those that can no longer meet their targets. */
+    /** Returns whether a run was moved to the late runs. */
     boolean isLate(Run run) {
         return lateRuns.contains(run);
     }
 
-    /** Returns the run that is next in this class. */
+    /** Returns the run to dispatch next in this class, without removing it. */
     Run peek() {
         return byVirtualStart.isEmpty()
                 ? lateRuns.peek()
                 : byVirtualStart.first().runs.peek();
     }
 
-    /** Takes the run that is next in this class. */
+    /** Removes and returns the run to dispatch next in this class. */
     Run take() {
         Run run = byVirtualStart.isEmpty() ? lateRuns.poll() : takeFromWorkspace(true);
         recordRemoval(run);
@@ -154,7 +154,7 @@
         }
         if (queue.runs.isEmpty()) {
             queueByWorkspace.remove(queue.workspace);
-            // A lane that comes back at once must not forget what it was just served.
+            // A workspace that queues again at once must not lose the record of the service it just received.
             virtualStartOfEmptied.put(queue.workspace, queue.virtualStart);
             evictPassedStarts();
         } else {
@@ -167,7 +167,7 @@
         virtualStartOfEmptied.values().removeIf(virtualStart -> virtualStart <= virtualTime);
     }
 
-    /** Takes a given run out of the queue; returns whether it was there. */
+    /** Removes a run; returns whether it was queued. */
     boolean remove(Run run) {
         if (lateRuns.remove(run)) {
             recordRemoval(run);
@@ -199,12 +199,12 @@
         return shareCredit;
     }
 
-    /** Adds the class's share of something dispatched while this class had work queued. */
+    /** Credits the class with its share of a cost that was dispatched while the class had queued runs. */
     void accrueCredit(double dispatchedCost) {
         shareCredit += shareFraction() * dispatchedCost;
     }
 
-    /** Takes off what the class itself was served. */
+    /** Charges the class for a run of its own that was dispatched. */
     void recordDispatch(double dispatchedCost) {
         shareCredit = Math.max(0, shareCredit - dispatchedCost);
         normalizedService += dispatchedCost / shareFraction();
@@ -216,12 +216,12 @@
         return normalizedService;
     }
 
-    /** Brings a class that was idle up to the others, so that it cannot claim the time it did not use. */
+    /** Advances a class that was idle, so that it cannot claim service for the time in which it had no runs. */
     void catchUpTo(double minNormalizedService) {
         normalizedService = Math.max(normalizedService, minNormalizedService);
     }
 
-    /** Returns whether the class's unused share pays for its next run. */
+    /** Returns whether the class's credit covers its next run. */
     boolean isOwed() {
         return !isEmpty() && shareCredit >= peek().cost();
     }
--- a/core/src/main/java/org/tanagerhinge/core/agent/Subscriber.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/Subscriber.java
@@ -2,7 +2,7 @@
 
 import org.tanagerhinge.core.id.RouterId;
 
-/** One router's attempt that gets the output of a run, and how far it has taken it. */
+/** Tracks one router's attempt that receives the output of a run, and the units sent and credited. */
 final class Subscriber {
     private final RouterId router;
     private final long attempt;
@@ -30,7 +30,7 @@
         creditedUnits += units;
     }
 
-    /** Returns units sent that the caller has not yet taken. */
+    /** Returns the units sent that the caller has not yet consumed. */
     long outstandingUnits() {
         return sentUnits - creditedUnits;
     }
--- a/core/src/main/java/org/tanagerhinge/core/agent/ThroughputEstimate.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/ThroughputEstimate.java
@@ -3,21 +3,22 @@
 import java.time.Duration;
 
 /**
- * How fast the backend server works, for guesses of waiting and running times.
+ * Estimates waiting and run times from the measured throughput of a backend server.
  *
- * @param unitsPerSecond rate of the whole server; zero when not yet known
- * @param streamUnitsPerSecond rate of one stream; zero when not yet known
- * @param freeSlots requests that could be dispatched at once
+ * @param unitsPerSecond rate of the whole server; zero when not yet measured
+ * @param streamUnitsPerSecond rate of one stream; zero when not yet measured
+ * @param freeSlots requests that can be dispatched at once
  */
 record ThroughputEstimate(double unitsPerSecond, double streamUnitsPerSecond, int freeSlots) {
     private static final Duration MAX_ESTIMATE = Duration.ofMinutes(1);
     private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(500);
 
     /**
-     * Returns how long a run waits for what is ahead of it.
+     * Returns the estimated time until a new run is dispatched.
      *
-     * @param costAhead queued cost of its tier and above
-     * @param classCost queued cost of its own class, which its guaranteed share works off in any case
+     * @param costAhead queued cost of the run's tier and all higher tiers
+     * @param classCost queued cost of the run's own class, which is served at least at the class's share
+     * @param shareFraction guaranteed share of the class, from 0 to 1
      */
     Duration queueWait(long costAhead, long classCost, double shareFraction) {
         if (unitsPerSecond <= 0 || freeSlots > 0) {
@@ -28,12 +29,12 @@
         return boundedDuration(classCost > 0 ? Math.min(waitInTierOrder, waitByShare) : waitInTierOrder);
     }
 
-    /** Returns how long a run of a cost takes once it is dispatched. */
+    /** Returns the estimated run time of a cost after dispatch. */
     Duration runTime(long cost) {
         return streamUnitsPerSecond <= 0 ? Duration.ZERO : boundedDuration(cost / streamUnitsPerSecond);
     }
 
-    /** Returns when a caller should come back, given the cost that must be worked off before. */
+    /** Returns the time after which a rejected caller should retry, given the cost that must be served before. */
     Duration retryAfter(long cost) {
         Duration drain = unitsPerSecond <= 0 ? MIN_RETRY_AFTER : boundedDuration(cost / unitsPerSecond);
         return drain.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : drain;
--- a/core/src/main/java/org/tanagerhinge/core/agent/ThroughputMeter.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/ThroughputMeter.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Measures a backend server's rate while it is busy, and the rate of one stream, as moving averages. */
+/** Measures the throughput, stream rate and first-output latency of a backend server as moving averages. */
 final class ThroughputMeter {
     private static final Duration WINDOW = Duration.ofMillis(250);
     private static final double RATE_SMOOTHING = 0.3;
@@ -22,7 +22,7 @@
         windowUnits += units;
     }
 
-    /** Notes how long the first output of a run took from its dispatch on. */
+    /** Records the time from a run's dispatch to its first output. */
     void recordFirstOutput(Duration latency) {
         double seconds = latency.toNanos() / 1e9;
         double error = seconds - firstOutputSeconds;
@@ -30,7 +30,7 @@
         firstOutputDeviationSeconds += (Math.abs(error) - firstOutputDeviationSeconds) * FIRST_OUTPUT_SMOOTHING;
     }
 
-    /** Returns how long the first output takes at the most, but for a few runs. */
+    /** Returns an upper estimate of the first-output latency: the mean plus twice the mean deviation. */
     Duration firstOutputLatencyBound() {
         return Duration.ofNanos((long) ((firstOutputSeconds + 2 * firstOutputDeviationSeconds) * 1e9));
     }
@@ -42,7 +42,13 @@
                 : secondsPerStreamUnit * (1 - UNIT_TIME_SMOOTHING) + unitSeconds * UNIT_TIME_SMOOTHING;
     }
 
-    /** Ends a window if it is due; a window counts only if the server was full throughout, else the rate is demand. */
+    /**
+     * Ends the measurement window if it is due.
+     *
+     * <p>A window without saturation can only raise the rate, since it reflects the demand and not the server's capacity.
+     *
+     * @param saturated whether the concurrency limit is reached
+     */
     void tick(Instant now, boolean saturated) {
         if (windowStart == null) {
             windowStart = now;
--- a/core/src/main/java/org/tanagerhinge/core/agent/package-info.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions of an agent: what it admits, in which order it runs it, how much at once, and what it remembers of
- * non-idempotent requests. Plain objects for one control thread; no I/O.
+ * Decides which requests an agent admits, in which order and how many at once it runs them, and what it remembers of
+ * non-idempotent requests. Single-threaded; no I/O.
  */
 package org.tanagerhinge.core.agent;
--- a/core/src/test/java/org/tanagerhinge/core/agent/ExecutionTableTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/agent/ExecutionTableTest.java
@@ -15,7 +15,7 @@
 import org.tanagerhinge.core.message.Load;
 import org.tanagerhinge.core.result.ResultCode;
 
-/** What an agent remembers of non-idempotent requests, and that its checks can fail. */
+/** Tests the records of non-idempotent requests, and that a violated invariant is detected. */
 class ExecutionTableTest {
     private static final KeyDigest DIGEST = new KeyDigest("00ff");
     private static final Execution FIRST = Execution.of(DIGEST, 1);
@@ -24,13 +24,13 @@
     private Run run;
 
     @BeforeEach
-    void start() {
+    void setUp() {
         table = new ExecutionTable(AgentOptions.defaults(), InvariantMonitor.strict());
         run = TestRuns.run("card", 1, 10, 10, "ws", Duration.ofSeconds(10), Optional.of(FIRST));
     }
 
     @Test
-    void aWholeAnswerIsHeldForWhoeverAsksAgain() {
+    void keepsCompleteAnswerForRetries() {
         table.recordQueued(run, TestRuns.NOW);
         table.recordStart(run);
         table.recordOutput(run, new Frame.Chunk(0, 0, 1, new byte[3]));
@@ -43,14 +43,14 @@
     }
 
     @Test
-    void aClosedGenerationStaysClosedAndTheNextIsOpen() {
+    void closedGenerationStaysClosedAndNextIsUnseen() {
         table.close(Execution.of(DIGEST, 2), TestRuns.NOW);
         assertInstanceOf(ExecutionTable.Status.Closed.class, table.lookup(FIRST));
         assertInstanceOf(ExecutionTable.Status.Unseen.class, table.lookup(Execution.of(DIGEST, 3)));
     }
 
     @Test
-    void aDroppedResultIsNeverRunAgain() {
+    void evictedResultIsReportedAsOutcomeUnknown() {
         AgentOptions small = AgentOptions.defaults();
         ExecutionTable bounded = new ExecutionTable(
                 new AgentOptions(
@@ -75,12 +75,12 @@
     }
 
     @Test
-    void beginningWithoutARecordIsCaught() {
+    void startWithoutRecordViolatesInvariant() {
         assertThrows(IllegalStateException.class, () -> table.recordStart(run));
     }
 
     @Test
-    void closingWhatHasBegunIsCaught() {
+    void closingStartedExecutionViolatesInvariant() {
         table.recordQueued(run, TestRuns.NOW);
         run.stateMachine().fire(RunEvent.DISPATCH);
         assertThrows(IllegalStateException.class, () -> table.close(FIRST, TestRuns.NOW));
--- a/core/src/test/java/org/tanagerhinge/core/agent/TestRuns.java
+++ b/core/src/test/java/org/tanagerhinge/core/agent/TestRuns.java
@@ -13,11 +13,11 @@
 import org.tanagerhinge.core.message.Frame;
 import org.tanagerhinge.core.message.Work;
 
-/** Makes the runs that tests of an agent's decisions need. */
+/** Creates runs for the tests of this package. */
 final class TestRuns {
     static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
     static final Duration START_TARGET = Duration.ofSeconds(2);
-    private static long ids;
+    private static long lastId;
 
     private TestRuns() {}
 
@@ -33,7 +33,7 @@
             String workspace,
             Duration timeLeft,
             Optional<Execution> execution) {
-        long id = ++ids;
+        long id = ++lastId;
         Work work = new Work(
                 WorkspaceId.of(workspace),
                 ProfileName.of(profile),
