--- a/core/src/main/java/org/tanagerhinge/core/relay/AdmissionControl.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/AdmissionControl.java
@@ -16,24 +16,24 @@
  */
 public final class AdmissionControl {
     /** Share of its target that a request may wait for the reading of prompts; the rest is its first tokens and the way. */
-    private static final double WAIT_SHARE = 0.8;
+    private static final double MAX_WAIT_TARGET_SHARE = 0.8;
     /**
      * How many times as long a request may wait that was turned away before: its answer is hardly in time any more, but a
      * caller who came back as told should not be sent away a second time.
      */
-    private static final double CAME_BACK = 1.5;
+    private static final double RETRY_WAIT_FACTOR = 1.5;
     /** A request with less than this share of its route's time left has been turned away before. */
-    private static final double CAME_BACK_LEFT = 0.97;
+    private static final double RETRY_TIME_LEFT_SHARE = 0.97;
     /** Earliest return: load that peers tell is this old, so nothing is known of an earlier moment, in milliseconds. */
-    private static final long LEAST_RETRY_MILLIS = 300;
+    private static final long MIN_RETRY_AFTER_MILLIS = 300;
     /** Largest share of the time that a caller has left that it is told to wait; callers don't wait longer. */
-    private static final double MOST_RETRY_SHARE = 1.0 / 3;
+    private static final double MAX_RETRY_AFTER_SHARE = 1.0 / 3;
 
     private AdmissionControl() {}
 
     /** Returns the longest wait with which a request is still in time; infinite if its route has no target. */
-    static double inTimeMillis(Route route) {
-        return route.targetMillis() <= 0 ? Double.POSITIVE_INFINITY : WAIT_SHARE * route.targetMillis();
+    static double maxWaitMillis(Route route) {
+        return route.targetMillis() <= 0 ? Double.POSITIVE_INFINITY : MAX_WAIT_TARGET_SHARE * route.targetMillis();
     }
 
     /**
@@ -44,13 +44,15 @@
      * @param draw a number drawn evenly from 0 to 1: callers who are turned away together should not come back together
      * @return when to come back, in milliseconds; empty if it is taken
      */
-    public static OptionalLong turnedAway(Route route, double waitMillis, long leftMillis, double draw) {
-        boolean cameBack = leftMillis < CAME_BACK_LEFT * route.timeoutMillis();
-        double most = inTimeMillis(route) * (cameBack ? CAME_BACK : 1);
-        if (waitMillis <= most) {
+    public static OptionalLong retryAfterMillis(
+            Route route, double expectedWaitMillis, long timeLeftMillis, double random) {
+        boolean retried = timeLeftMillis < RETRY_TIME_LEFT_SHARE * route.timeoutMillis();
+        double maxWaitMillis = maxWaitMillis(route) * (retried ? RETRY_WAIT_FACTOR : 1);
+        if (expectedWaitMillis <= maxWaitMillis) {
             return OptionalLong.empty();
         }
-        double untilRoom = Math.max(LEAST_RETRY_MILLIS, waitMillis - most);
-        return OptionalLong.of((long) Math.max(1, Math.min(untilRoom * (1 + draw), MOST_RETRY_SHARE * leftMillis)));
+        double untilCapacityMillis = Math.max(MIN_RETRY_AFTER_MILLIS, expectedWaitMillis - maxWaitMillis);
+        return OptionalLong.of((long)
+                Math.max(1, Math.min(untilCapacityMillis * (1 + random), MAX_RETRY_AFTER_SHARE * timeLeftMillis)));
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/LaneDemand.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/LaneDemand.java
@@ -7,13 +7,15 @@
  * @param shortTokens prompt tokens of short requests that have to be read, a second
  * @param longTokens prompt tokens of long requests that have to be read, a second
  */
-public record LaneDemand(double shortRunning, double shortTokens, double longTokens) {
+public record LaneDemand(double shortInFlight, double shortTokensPerSecond, double longTokensPerSecond) {
     /** No demand. */
     public static final LaneDemand NONE = new LaneDemand(0, 0, 0);
 
     /** Returns the sum of two demands. */
     public LaneDemand plus(LaneDemand other) {
         return new LaneDemand(
-                shortRunning + other.shortRunning, shortTokens + other.shortTokens, longTokens + other.longTokens);
+                shortInFlight + other.shortInFlight,
+                shortTokensPerSecond + other.shortTokensPerSecond,
+                longTokensPerSecond + other.longTokensPerSecond);
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/LaneSizing.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/LaneSizing.java
@@ -11,15 +11,15 @@
  */
 public final class LaneSizing {
     /** Share of an engine's slots that short requests may fill: the rest absorbs what peers send unseen. */
-    private static final double SLOTS_FILLED = 0.8;
+    private static final double MAX_SLOT_SHARE = 0.8;
     /** Part of the allowed pause that the reading of other prompts may fill; the rest are the steps themselves. */
-    private static final double PAUSE_FILLED = 0.85;
+    private static final double MAX_GAP_SHARE = 0.85;
     /** How many standard deviations above the mean the prompts that arrive within one pause must still fit into it. */
-    private static final double DEVIATIONS = 1.5;
+    private static final double STANDARD_DEVIATIONS = 1.5;
     /** Share of an engine's time that the reading of long prompts may take: more makes them wait for each other. */
-    private static final double LONG_READING = 0.6;
+    private static final double MAX_LONG_PREFILL_SHARE = 0.6;
     /** Share of the engines that the short lane may take in a shortage if its requests are the more urgent ones. */
-    private static final double MOST_URGENT = 0.7;
+    private static final double MAX_URGENT_LANE_SHARE = 0.7;
 
     private LaneSizing() {}
 
@@ -33,23 +33,28 @@
      * @param shortFirst whether short requests are more urgent than long ones: in a shortage they get what they need, and
      *     what is over of the long ones is turned away ({@link AdmissionControl}); otherwise both get less
      */
-    public static int shortEngines(
-            int engines, int slots, LaneDemand demand, double tokensPerMilli, double shortReading, boolean shortFirst) {
-        if (engines <= 1 || demand.longTokens() <= 0) {
+    public static int shortLaneSize(
+            int engines,
+            int slots,
+            LaneDemand demand,
+            double tokensPerMilli,
+            double shortPrefillShare,
+            boolean shortMoreUrgent) {
+        if (engines <= 1 || demand.longTokensPerSecond() <= 0) {
             return engines;
         }
-        double perSecond = tokensPerMilli * 1000;
-        double needShort = Math.max(
-                demand.shortRunning() / (SLOTS_FILLED * Math.max(1, slots)),
-                demand.shortTokens() / (shortReading * perSecond));
-        double needLong = demand.longTokens() / (LONG_READING * perSecond);
-        double share = needShort;
-        if (needShort + needLong > engines) {
-            share = shortFirst
-                    ? Math.min(needShort, MOST_URGENT * engines)
-                    : engines * needShort / (needShort + needLong);
+        double tokensPerSecond = tokensPerMilli * 1000;
+        double enginesForShort = Math.max(
+                demand.shortInFlight() / (MAX_SLOT_SHARE * Math.max(1, slots)),
+                demand.shortTokensPerSecond() / (shortPrefillShare * tokensPerSecond));
+        double enginesForLong = demand.longTokensPerSecond() / (MAX_LONG_PREFILL_SHARE * tokensPerSecond);
+        double shortEngines = enginesForShort;
+        if (enginesForShort + enginesForLong > engines) {
+            shortEngines = shortMoreUrgent
+                    ? Math.min(enginesForShort, MAX_URGENT_LANE_SHARE * engines)
+                    : engines * enginesForShort / (enginesForShort + enginesForLong);
         }
-        return (int) Math.min(engines - 1, Math.max(1, Math.ceil(share)));
+        return (int) Math.min(engines - 1, Math.max(1, Math.ceil(shortEngines)));
     }
 
     /**
@@ -62,9 +67,10 @@
      * @param pauseMillis pause that is allowed
      * @param promptMillis time that the reading of one short prompt takes
      */
-    public static double shortReading(double pauseMillis, double promptMillis) {
-        double fit = PAUSE_FILLED * pauseMillis / promptMillis;
-        double root = Math.sqrt(DEVIATIONS * DEVIATIONS / 4 + fit) - DEVIATIONS / 2;
-        return root * root * promptMillis / pauseMillis;
+    public static double shortPrefillShare(double maxGapMillis, double prefillMillis) {
+        double promptsPerGap = MAX_GAP_SHARE * maxGapMillis / prefillMillis;
+        double sqrtMeanPrompts =
+                Math.sqrt(STANDARD_DEVIATIONS * STANDARD_DEVIATIONS / 4 + promptsPerGap) - STANDARD_DEVIATIONS / 2;
+        return sqrtMeanPrompts * sqrtMeanPrompts * prefillMillis / maxGapMillis;
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/LeastInFlightPlacement.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/LeastInFlightPlacement.java
@@ -5,7 +5,7 @@
 
 /** The plain policy that the product is compared with: the server with the fewest of this node's requests. */
 public final class LeastInFlightPlacement implements PlacementPolicy {
-    private int turn;
+    private int rotation;
 
     private LeastInFlightPlacement() {}
 
@@ -15,32 +15,32 @@
     }
 
     @Override
-    public Optional<Decision> place(PlacementRequest request, List<ServerInstance> candidates, long now) {
+    public Optional<Decision> place(PlacementRequest request, List<ServerInstance> candidates, long nowMillis) {
         ServerInstance best = null;
         int size = candidates.size();
-        turn++;
+        rotation++;
         for (int i = 0; i < size; i++) {
-            ServerInstance server = candidates.get(Math.floorMod(i + turn, size));
-            if (best == null || server.running() < best.running()) {
+            ServerInstance server = candidates.get(Math.floorMod(i + rotation, size));
+            if (best == null || server.inFlight() < best.inFlight()) {
                 best = server;
             }
         }
         return Optional.ofNullable(best)
-                .map(server -> Decision.plain(server, request.prompt().inputTokens()));
+                .map(server -> Decision.unordered(server, request.prompt().inputTokens()));
     }
 
     @Override
-    public void sent(PlacementRequest request, Decision placed, long now) {
+    public void recordSent(PlacementRequest request, Decision decision, long nowMillis) {
         // The plain policy keeps no account of prompts.
     }
 
     @Override
-    public void read(PlacementRequest request, Decision placed, long millis) {
+    public void recordPrefill(PlacementRequest request, Decision decision, long firstOutputMillis) {
         // The plain policy doesn't look at how fast servers read.
     }
 
     @Override
-    public void ended(PlacementRequest request, Decision placed, long now) {
+    public void recordEnd(PlacementRequest request, Decision decision, long nowMillis) {
         // The plain policy keeps no account of prompts.
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/PeerReport.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PeerReport.java
@@ -21,13 +21,13 @@
         long incarnation,
         long sequence,
         String address,
-        boolean storeAnswers,
+        boolean storeReachable,
         long configVersion,
-        long serversAgeMillis,
-        long serversDigest,
-        long intervalMillis,
-        Map<String, InstanceLoad> uses,
+        long serverListAgeMillis,
+        long serverListDigest,
+        long reportIntervalMillis,
+        Map<String, InstanceLoad> loads,
         Map<String, LaneDemand> demands) {
     /** Requests in progress at a backend server, and prompt tokens that it still has to read for them. */
-    public record InstanceLoad(int running, long promptTokens) {}
+    public record InstanceLoad(int inFlight, long pendingPrefillTokens) {}
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/PeerTable.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PeerTable.java
@@ -19,13 +19,13 @@
  */
 public final class PeerTable {
     /** A peer that wasn't heard for this many of its intervals counts as away: reports were lost or it is gone. */
-    private static final double AWAY_INTERVALS = 2.5;
+    private static final double ABSENT_AFTER_INTERVALS = 2.5;
     /** A peer counts as away after this long at the least, in milliseconds. */
-    private static final long AWAY_MILLIS = 700;
+    private static final long MIN_ABSENT_MILLIS = 700;
     /** A peer that wasn't heard for this long is forgotten, and no longer counts for the shared budget. */
-    private static final long FORGET_MILLIS = 30_000;
+    private static final long FORGET_AFTER_MILLIS = 30_000;
     /** Ended incarnations of a peer that are remembered: its late reports must not be taken for those of a new start. */
-    private static final int MOST_ENDED = 8;
+    private static final int MAX_PAST_INCARNATIONS = 8;
 
     private final String self;
     private final TreeMap<String, Peer> peers = new TreeMap<>();
@@ -44,74 +44,76 @@
      *
      * @param ended incarnations that it had before
      */
-    public record Peer(PeerReport report, long heardAt, Deque<Long> ended) {}
+    public record Peer(PeerReport report, long receivedAtMillis, Deque<Long> pastIncarnations) {}
 
     /**
      * Takes a report.
      *
      * @return false if it is this node's own, or older than one that was heard before
      */
-    public boolean hear(PeerReport report, long now) {
+    public boolean accept(PeerReport report, long nowMillis) {
         if (report.name().equals(self)) {
             return false;
         }
-        Peer known = peers.get(report.name());
-        if (known == null) {
-            peers.put(report.name(), new Peer(report, now, new ArrayDeque<>()));
+        Peer previous = peers.get(report.name());
+        if (previous == null) {
+            peers.put(report.name(), new Peer(report, nowMillis, new ArrayDeque<>()));
             return true;
         }
-        if (report.incarnation() != known.report().incarnation()) {
-            if (known.ended().contains(report.incarnation())) {
+        if (report.incarnation() != previous.report().incarnation()) {
+            if (previous.pastIncarnations().contains(report.incarnation())) {
                 return false;
             }
-            known.ended().addLast(known.report().incarnation());
-            if (known.ended().size() > MOST_ENDED) {
-                known.ended().removeFirst();
+            previous.pastIncarnations().addLast(previous.report().incarnation());
+            if (previous.pastIncarnations().size() > MAX_PAST_INCARNATIONS) {
+                previous.pastIncarnations().removeFirst();
             }
-        } else if (report.sequence() <= known.report().sequence()) {
+        } else if (report.sequence() <= previous.report().sequence()) {
             return false;
         }
-        peers.put(report.name(), new Peer(report, now, known.ended()));
+        peers.put(report.name(), new Peer(report, nowMillis, previous.pastIncarnations()));
         return true;
     }
 
     /** Returns what a peer told last that it has in progress, by the life of the server; nothing if it isn't present. */
-    public Map<String, PeerReport.InstanceLoad> uses(String name, long now) {
+    public Map<String, PeerReport.InstanceLoad> loads(String name, long nowMillis) {
         Peer peer = peers.get(name);
-        return peer != null && present(peer, now) ? peer.report().uses() : Map.of();
+        return peer != null && present(peer, nowMillis) ? peer.report().loads() : Map.of();
     }
 
     /** Forgets peers that were silent for long. */
-    public void trim(long now) {
-        peers.values().removeIf(peer -> now - peer.heardAt() > FORGET_MILLIS);
+    public void forgetSilent(long nowMillis) {
+        peers.values().removeIf(peer -> nowMillis - peer.receivedAtMillis() > FORGET_AFTER_MILLIS);
     }
 
     /** Returns all peers that aren't forgotten. */
-    public Collection<Peer> all() {
+    public Collection<Peer> peers() {
         return peers.values();
     }
 
     /** Returns whether a peer was heard of late. */
-    public static boolean present(Peer peer, long now) {
-        return now - peer.heardAt()
-                <= Math.max(AWAY_MILLIS, AWAY_INTERVALS * peer.report().intervalMillis());
+    public static boolean present(Peer peer, long nowMillis) {
+        return nowMillis - peer.receivedAtMillis()
+                <= Math.max(
+                        MIN_ABSENT_MILLIS,
+                        ABSENT_AFTER_INTERVALS * peer.report().reportIntervalMillis());
     }
 
     /** Returns the names of the peers that were heard of late. */
-    public Set<String> present(long now) {
+    public Set<String> present(long nowMillis) {
         return peers.entrySet().stream()
-                .filter(peer -> present(peer.getValue(), now))
+                .filter(peer -> present(peer.getValue(), nowMillis))
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toUnmodifiableSet());
     }
 
     /** Returns whether any peer was heard of late. */
-    public boolean anyPresent(long now) {
-        return peers.values().stream().anyMatch(peer -> present(peer, now));
+    public boolean anyPresent(long nowMillis) {
+        return peers.values().stream().anyMatch(peer -> present(peer, nowMillis));
     }
 
     /** Returns how many nodes there are with this one, those that are silent for now among them. */
-    public int nodes() {
+    public int nodeCount() {
         return peers.size() + 1;
     }
 
@@ -120,11 +122,11 @@
      *
      * @param storeAnswers whether the store answers this node
      */
-    public boolean reads(boolean storeAnswers, long now) {
+    public boolean isStoreReader(boolean storeReachable, long nowMillis) {
         for (Peer peer : peers.values()) {
-            if (present(peer, now)
-                    && peer.report().storeAnswers()
-                    && (!storeAnswers || peer.report().name().compareTo(self) < 0)) {
+            if (present(peer, nowMillis)
+                    && peer.report().storeReachable()
+                    && (!storeReachable || peer.report().name().compareTo(self) < 0)) {
                 return false;
             }
         }
@@ -132,28 +134,29 @@
     }
 
     /** Returns what the present peers have in progress, added up by backend server. */
-    public Map<String, PeerReport.InstanceLoad> uses(long now) {
-        Map<String, PeerReport.InstanceLoad> sums = new HashMap<>();
+    public Map<String, PeerReport.InstanceLoad> loads(long nowMillis) {
+        Map<String, PeerReport.InstanceLoad> totals = new HashMap<>();
         for (Peer peer : peers.values()) {
-            if (present(peer, now)) {
-                peer.report().uses().forEach((server, use) -> sums.merge(server, use, PeerTable::plus));
+            if (present(peer, nowMillis)) {
+                peer.report().loads().forEach((instanceId, load) -> totals.merge(instanceId, load, PeerTable::plus));
             }
         }
-        return sums;
+        return totals;
     }
 
     private static PeerReport.InstanceLoad plus(PeerReport.InstanceLoad a, PeerReport.InstanceLoad b) {
-        return new PeerReport.InstanceLoad(a.running() + b.running(), a.promptTokens() + b.promptTokens());
+        return new PeerReport.InstanceLoad(
+                a.inFlight() + b.inFlight(), a.pendingPrefillTokens() + b.pendingPrefillTokens());
     }
 
     /** Returns what the present peers' callers ask, added up by service. */
-    public Map<String, LaneDemand> demands(long now) {
-        Map<String, LaneDemand> sums = new HashMap<>();
+    public Map<String, LaneDemand> demands(long nowMillis) {
+        Map<String, LaneDemand> totals = new HashMap<>();
         for (Peer peer : peers.values()) {
-            if (present(peer, now)) {
-                peer.report().demands().forEach((service, demand) -> sums.merge(service, demand, LaneDemand::plus));
+            if (present(peer, nowMillis)) {
+                peer.report().demands().forEach((service, demand) -> totals.merge(service, demand, LaneDemand::plus));
             }
         }
-        return sums;
+        return totals;
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/PlacementPolicy.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PlacementPolicy.java
@@ -14,33 +14,34 @@
      * @param now time in milliseconds
      * @return the server, with the prompt tokens that it is expected to read; empty if there is none to send to
      */
-    Optional<Decision> place(PlacementRequest request, List<ServerInstance> candidates, long now);
+    Optional<Decision> place(PlacementRequest request, List<ServerInstance> candidates, long nowMillis);
 
     /** Notes that a request is sent to the server that was chosen for it. */
-    void sent(PlacementRequest request, Decision placed, long now);
+    void recordSent(PlacementRequest request, Decision decision, long nowMillis);
 
     /** Notes that a server has read a prompt: its first output came some milliseconds after it was sent. */
-    void read(PlacementRequest request, Decision placed, long millis);
+    void recordPrefill(PlacementRequest request, Decision decision, long firstOutputMillis);
 
     /** Notes that a request that was sent has ended, whichever way. */
-    void ended(PlacementRequest request, Decision placed, long now);
+    void recordEnd(PlacementRequest request, Decision decision, long nowMillis);
 
     /** Takes the tightest pause between events that a route allows, in milliseconds; 0 if none states one. */
-    default void tightestPause(long millis) {}
+    default void updateMinEventGap(long minGapMillis) {}
 
     /** Notes that another node gave an engine parts of a prompt to read, at a time in milliseconds. */
-    default void kept(ServerInstance server, ServiceConfig service, List<PromptPart> parts, long now) {}
+    default void recordPeerPrefill(
+            ServerInstance server, ServiceConfig service, List<PromptPart> parts, long nowMillis) {}
 
     /** Forgets what is known of a life of a server that has ended. */
-    default void forget(String life) {}
+    default void forgetInstance(String instanceId) {}
 
     /** Returns the demand of this node's own callers by service, for the other nodes. */
-    default Map<String, LaneDemand> demands(long now) {
+    default Map<String, LaneDemand> localDemands(long nowMillis) {
         return Map.of();
     }
 
     /** Takes the demand that the other nodes tell of, added up by service. */
-    default void peers(Map<String, LaneDemand> demands) {}
+    default void updatePeerDemands(Map<String, LaneDemand> peerDemands) {}
 
     /**
      * A choice.
@@ -54,24 +55,25 @@
      */
     record Decision(
             ServerInstance server,
-            int tokensToRead,
+            int tokensToPrefill,
             int step,
             boolean longPrompt,
-            double waitMillis,
+            double expectedWaitMillis,
             Optional<PrefixFetch> fetch) {
         /** Returns a choice that was made without regard to what is to be read before a request, and in which order. */
-        static Decision plain(ServerInstance server, int tokensToRead) {
-            return new Decision(server, tokensToRead, 0, false, 0, Optional.empty());
+        static Decision unordered(ServerInstance server, int tokensToPrefill) {
+            return new Decision(server, tokensToPrefill, 0, false, 0, Optional.empty());
         }
 
         /** Returns the same choice with a place in the order of reading. */
-        Decision at(int newStep) {
-            return new Decision(server, tokensToRead, newStep, longPrompt, waitMillis, fetch);
+        Decision withStep(int newStep) {
+            return new Decision(server, tokensToPrefill, newStep, longPrompt, expectedWaitMillis, fetch);
         }
 
         /** Returns the same choice with a fetch, and what is still to be read then. */
-        Decision fetching(PrefixFetch newFetch, int newTokensToRead) {
-            return new Decision(server, newTokensToRead, step, longPrompt, waitMillis, Optional.of(newFetch));
+        Decision withFetch(PrefixFetch newFetch, int newTokensToPrefill) {
+            return new Decision(
+                    server, newTokensToPrefill, step, longPrompt, expectedWaitMillis, Optional.of(newFetch));
         }
     }
 
@@ -80,5 +82,5 @@
      *
      * @param tokens prompt tokens that it lacks and the other one has read
      */
-    record PrefixFetch(ServerInstance from, int tokens) {}
+    record PrefixFetch(ServerInstance source, int tokens) {}
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/PrefillOrder.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PrefillOrder.java
@@ -19,17 +19,17 @@
      * Reading time of the first step, as a share of the target; each further step takes twice as much. The second to the
      * fourth hold most prompts where their mean takes a sixth of the target.
      */
-    private static final double FIRST_STEP = 0.04;
+    private static final double FIRST_STEP_MAX_SHARE = 0.04;
     /** What an output token weighs in a request's size: generating one takes an engine as long as reading about ten. */
-    private static final double OUTPUT_WEIGHT = 10;
+    private static final double OUTPUT_TOKEN_WEIGHT = 10;
     /** Worth of a request beside its size, as a part of that of a mean one. */
-    private static final double BASE_WORTH = 0.3;
+    private static final double BASE_VALUE = 0.3;
     /** Size beyond which a request is worth no more, in means: one that is so large would go before all others. */
-    private static final double MOST_SIZE = 5;
+    private static final double MAX_RELATIVE_SIZE = 5;
     /** Weight of the newest request in the mean size. */
-    private static final double NEWEST = 0.02;
+    private static final double SMOOTHING = 0.02;
 
-    private final Map<String, Double> meanSizes = new HashMap<>();
+    private final Map<String, Double> meanSizeByRoute = new HashMap<>();
 
     private PrefillOrder() {}
 
@@ -43,16 +43,17 @@
      * @param toRead prompt tokens that the engine doesn't hold yet
      * @param tokensPerMilli reading speed of an engine
      */
-    int step(Route route, Prompt prompt, int toRead, double tokensPerMilli) {
+    int step(Route route, Prompt prompt, int tokensToPrefill, double tokensPerMilli) {
         if (route.targetMillis() <= 0) {
             return 0;
         }
-        double size = prompt.inputTokens() + OUTPUT_WEIGHT * prompt.outputTokens();
-        double mean = meanSizes.merge(route.name(), size, (old, now) -> old + NEWEST * (now - old));
-        double worth = BASE_WORTH + (1 - BASE_WORTH) * Math.min(MOST_SIZE, size / Math.max(1, mean));
-        double share = toRead / tokensPerMilli / route.targetMillis() / worth;
+        double size = prompt.inputTokens() + OUTPUT_TOKEN_WEIGHT * prompt.maxOutputTokens();
+        double meanSize = meanSizeByRoute.merge(
+                route.name(), size, (previous, newest) -> previous + SMOOTHING * (newest - previous));
+        double value = BASE_VALUE + (1 - BASE_VALUE) * Math.min(MAX_RELATIVE_SIZE, size / Math.max(1, meanSize));
+        double targetShare = tokensToPrefill / tokensPerMilli / route.targetMillis() / value;
         int step = 0;
-        for (double most = FIRST_STEP; step < STEPS - 1 && share >= most; most *= 2) {
+        for (double maxShare = FIRST_STEP_MAX_SHARE; step < STEPS - 1 && targetShare >= maxShare; maxShare *= 2) {
             step++;
         }
         return step;
--- a/core/src/main/java/org/tanagerhinge/core/relay/PrefillRateEstimator.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PrefillRateEstimator.java
@@ -8,39 +8,39 @@
  */
 public final class PrefillRateEstimator {
     /** Prompts below this tell more of the network than of reading, in tokens. */
-    private static final int LEAST_TOKENS = 2_000;
+    private static final int MIN_TOKENS = 2_000;
 
-    private static final double FASTER = 0.3;
-    private static final double SLOWER = 0.01;
+    private static final double RISE_WEIGHT = 0.3;
+    private static final double FALL_WEIGHT = 0.01;
 
     /** Readings before which the estimate is hardly more than the guess. */
-    private static final int FEW = 5;
+    private static final int MIN_SAMPLES = 5;
 
     private double tokensPerMilli;
-    private int readings;
+    private int samples;
 
-    private PrefillRateEstimator(double first) {
-        tokensPerMilli = first;
+    private PrefillRateEstimator(double initialTokensPerMilli) {
+        tokensPerMilli = initialTokensPerMilli;
     }
 
     /** Returns a meter that begins with a guess. */
-    public static PrefillRateEstimator create(double first) {
-        return new PrefillRateEstimator(first);
+    public static PrefillRateEstimator create(double initialTokensPerMilli) {
+        return new PrefillRateEstimator(initialTokensPerMilli);
     }
 
     /** Notes that a prompt's reading of some tokens took some time up to the first event. */
-    public void read(int tokens, long millis) {
-        if (tokens < LEAST_TOKENS || millis <= 0) {
+    public void recordPrefill(int tokens, long firstEventMillis) {
+        if (tokens < MIN_TOKENS || firstEventMillis <= 0) {
             return;
         }
-        readings++;
-        double sample = (double) tokens / millis;
-        tokensPerMilli += (sample > tokensPerMilli ? FASTER : SLOWER) * (sample - tokensPerMilli);
+        samples++;
+        double sample = (double) tokens / firstEventMillis;
+        tokensPerMilli += (sample > tokensPerMilli ? RISE_WEIGHT : FALL_WEIGHT) * (sample - tokensPerMilli);
     }
 
     /** Returns whether the speed was measured, and is not just the guess. */
-    public boolean measured() {
-        return readings >= FEW;
+    public boolean isMeasured() {
+        return samples >= MIN_SAMPLES;
     }
 
     public double tokensPerMilli() {
--- a/core/src/main/java/org/tanagerhinge/core/relay/PrefixAffinity.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PrefixAffinity.java
@@ -12,48 +12,48 @@
  */
 final class PrefixAffinity {
     /** Engines that a part belongs to: the second takes it while the first has too much to do. */
-    private static final int HOMES = 2;
+    private static final int PREFERRED_COUNT = 2;
 
-    private final ServerInstance[] homes = new ServerInstance[HOMES];
-    private final long[] scores = new long[HOMES];
+    private final ServerInstance[] preferred = new ServerInstance[PREFERRED_COUNT];
+    private final long[] scores = new long[PREFERRED_COUNT];
 
     private PrefixAffinity() {}
 
     /** Returns the homes of a prompt's last shared part among some engines; none if nothing of it is shared. */
     static PrefixAffinity of(Prompt prompt, List<ServerInstance> engines) {
-        PrefixAffinity found = new PrefixAffinity();
-        int shared = prompt.parts().size() - 1;
-        if (shared > 0) {
-            long part = mix(prompt.parts().get(shared - 1).id().hashCode());
+        PrefixAffinity affinity = new PrefixAffinity();
+        int sharedPartCount = prompt.parts().size() - 1;
+        if (sharedPartCount > 0) {
+            long partHash = mixBits(prompt.parts().get(sharedPartCount - 1).id().hashCode());
             for (ServerInstance engine : engines) {
-                found.offer(engine, mix(part ^ engine.id().hashCode()));
+                affinity.insert(engine, mixBits(partHash ^ engine.id().hashCode()));
             }
         }
-        return found;
+        return affinity;
     }
 
-    private void offer(ServerInstance engine, long score) {
+    private void insert(ServerInstance engine, long score) {
         ServerInstance candidate = engine;
         long candidateScore = score;
-        for (int i = 0; i < HOMES; i++) {
-            if (homes[i] == null || candidateScore > scores[i]) {
-                ServerInstance next = homes[i];
-                long nextScore = scores[i];
-                homes[i] = candidate;
+        for (int i = 0; i < PREFERRED_COUNT; i++) {
+            if (preferred[i] == null || candidateScore > scores[i]) {
+                ServerInstance displaced = preferred[i];
+                long displacedScore = scores[i];
+                preferred[i] = candidate;
                 scores[i] = candidateScore;
-                if (next == null) {
+                if (displaced == null) {
                     return;
                 }
-                candidate = next;
-                candidateScore = nextScore;
+                candidate = displaced;
+                candidateScore = displacedScore;
             }
         }
     }
 
     /** Returns the place of an engine among the homes, 0 for the first; -1 if it is none. */
-    int rank(ServerInstance engine) {
-        for (int i = 0; i < HOMES; i++) {
-            if (homes[i] == engine) {
+    int position(ServerInstance engine) {
+        for (int i = 0; i < PREFERRED_COUNT; i++) {
+            if (preferred[i] == engine) {
                 return i;
             }
         }
@@ -61,7 +61,7 @@
     }
 
     /** Spreads a number over all longs; the finalizer of MurmurHash3. */
-    private static long mix(long value) {
+    private static long mixBits(long value) {
         long mixed = (value ^ (value >>> 33)) * 0xff51afd7ed558ccdL;
         mixed = (mixed ^ (mixed >>> 33)) * 0xc4ceb9fe1a85ec53L;
         return mixed ^ (mixed >>> 33);
--- a/core/src/main/java/org/tanagerhinge/core/relay/PrefixCacheTracker.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PrefixCacheTracker.java
@@ -17,14 +17,14 @@
  */
 public final class PrefixCacheTracker {
     /** Share of an engine's memory that is taken to hold parts; the rest holds the requests that run. */
-    private static final double SHARE = 0.8;
+    private static final double CACHE_MEMORY_SHARE = 0.8;
     /**
      * Time after which a part that was sent has been read, in milliseconds: longer than most prompts wait. An engine that
      * fetches a part that isn't there yet reads it all the same.
      */
-    private static final long READ_MILLIS = 1_000;
+    private static final long PREFILL_MILLIS = 1_000;
 
-    private final Map<String, ServerCache> byServer = new HashMap<>();
+    private final Map<String, ServerCache> cacheByInstanceId = new HashMap<>();
 
     private PrefixCacheTracker() {}
 
@@ -34,24 +34,24 @@
     }
 
     /** Returns how many tokens at the start of a prompt a server should hold. */
-    public int held(String server, Prompt prompt) {
-        return held(server, prompt, Long.MAX_VALUE);
+    public int cachedTokens(String instanceId, Prompt prompt) {
+        return cachedTokens(instanceId, prompt, Long.MAX_VALUE);
     }
 
     /** Returns how many tokens at the start of a prompt a server should have read by a time, in milliseconds. */
-    public int read(String server, Prompt prompt, long now) {
-        return held(server, prompt, now - READ_MILLIS);
+    public int fetchableTokens(String instanceId, Prompt prompt, long nowMillis) {
+        return cachedTokens(instanceId, prompt, nowMillis - PREFILL_MILLIS);
     }
 
-    private int held(String server, Prompt prompt, long sentUntil) {
-        ServerCache held = byServer.get(server);
-        if (held == null) {
+    private int cachedTokens(String instanceId, Prompt prompt, long sentUntilMillis) {
+        ServerCache cache = cacheByInstanceId.get(instanceId);
+        if (cache == null) {
             return 0;
         }
         int tokens = 0;
         for (PromptPart part : prompt.parts()) {
-            CachedPart kept = held.parts.get(part.id());
-            if (kept == null || kept.since() > sentUntil) {
+            CachedPart cached = cache.parts.get(part.id());
+            if (cached == null || cached.sentAtMillis() > sentUntilMillis) {
                 break;
             }
             tokens += part.tokens();
@@ -60,27 +60,29 @@
     }
 
     /** Notes that a server was given a prompt's parts to read, at a time in milliseconds. */
-    public void keep(String server, List<PromptPart> parts, long memoryTokens, long now) {
-        ServerCache held = byServer.computeIfAbsent(server, id -> new ServerCache());
+    public void recordPrefill(String instanceId, List<PromptPart> parts, long capacityTokens, long nowMillis) {
+        ServerCache cache = cacheByInstanceId.computeIfAbsent(instanceId, id -> new ServerCache());
         for (PromptPart part : parts) {
-            CachedPart old = held.parts.remove(part.id());
-            held.tokens += part.tokens() - (old == null ? 0 : old.tokens());
-            held.parts.put(part.id(), new CachedPart(part.tokens(), old == null ? now : old.since()));
+            CachedPart previous = cache.parts.remove(part.id());
+            cache.tokens += part.tokens() - (previous == null ? 0 : previous.tokens());
+            cache.parts.put(
+                    part.id(), new CachedPart(part.tokens(), previous == null ? nowMillis : previous.sentAtMillis()));
         }
-        Iterator<Map.Entry<String, CachedPart>> oldest = held.parts.entrySet().iterator();
-        while (held.tokens > SHARE * memoryTokens && oldest.hasNext()) {
-            held.tokens -= oldest.next().getValue().tokens();
-            oldest.remove();
+        Iterator<Map.Entry<String, CachedPart>> leastRecentlyUsed =
+                cache.parts.entrySet().iterator();
+        while (cache.tokens > CACHE_MEMORY_SHARE * capacityTokens && leastRecentlyUsed.hasNext()) {
+            cache.tokens -= leastRecentlyUsed.next().getValue().tokens();
+            leastRecentlyUsed.remove();
         }
     }
 
     /** Forgets a server that has ended. */
-    public void forget(String server) {
-        byServer.remove(server);
+    public void forget(String instanceId) {
+        cacheByInstanceId.remove(instanceId);
     }
 
     /** A part's size, and since when it is held. */
-    private record CachedPart(int tokens, long since) {}
+    private record CachedPart(int tokens, long sentAtMillis) {}
 
     private static final class ServerCache {
         private final LinkedHashMap<String, CachedPart> parts = new LinkedHashMap<>();
--- a/core/src/main/java/org/tanagerhinge/core/relay/PriorityLevels.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PriorityLevels.java
@@ -3,7 +3,7 @@
 /** How urgent a request is at a backend server, by the rank of its kind, that of its workspace, and its step within both. */
 final class PriorityLevels {
     /** Levels that backend servers tell apart, 0 first. */
-    private static final int LEVELS = 10;
+    private static final int LEVEL_COUNT = 10;
 
     private PriorityLevels() {}
 
@@ -19,13 +19,15 @@
      * @param workspaces how many such ranks there are
      * @param step within both, from 0 to {@link PrefillOrder#STEPS} - 1
      */
-    static int level(int kind, int kinds, int workspace, int workspaces, int step) {
-        if (kinds >= LEVELS) {
-            return kind * LEVELS / kinds;
+    static int level(int routeRank, int routeRankCount, int workspaceRank, int workspaceRankCount, int step) {
+        if (routeRankCount >= LEVEL_COUNT) {
+            return routeRank * LEVEL_COUNT / routeRankCount;
         }
-        int ofKind = LEVELS / Math.max(1, kinds);
-        int first = workspace * ofKind / workspaces;
-        int own = (workspace + 1) * ofKind / workspaces - first;
-        return kind * ofKind + first + step * Math.min(own, PrefillOrder.STEPS) / PrefillOrder.STEPS;
+        int levelsPerRouteRank = LEVEL_COUNT / Math.max(1, routeRankCount);
+        int firstLevel = workspaceRank * levelsPerRouteRank / workspaceRankCount;
+        int levelCount = (workspaceRank + 1) * levelsPerRouteRank / workspaceRankCount - firstLevel;
+        return routeRank * levelsPerRouteRank
+                + firstLevel
+                + step * Math.min(levelCount, PrefillOrder.STEPS) / PrefillOrder.STEPS;
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/Prompt.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/Prompt.java
@@ -9,7 +9,7 @@
  * @param outputTokens most tokens that may be generated, 0 if not told
  * @param parts in order; the last belongs to the request itself or its session
  */
-public record Prompt(int inputTokens, int outputTokens, List<PromptPart> parts) {
+public record Prompt(int inputTokens, int maxOutputTokens, List<PromptPart> parts) {
     /** The prompt of a request that tells nothing. */
     public static final Prompt NONE = new Prompt(0, 0, List.of());
 
@@ -28,7 +28,7 @@
     }
 
     /** Returns a prompt; negative sizes are taken as not told. */
-    public static Prompt of(int inputTokens, int outputTokens, List<PromptPart> parts) {
-        return new Prompt(Math.max(0, inputTokens), Math.max(0, outputTokens), List.copyOf(parts));
+    public static Prompt of(int inputTokens, int maxOutputTokens, List<PromptPart> parts) {
+        return new Prompt(Math.max(0, inputTokens), Math.max(0, maxOutputTokens), List.copyOf(parts));
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/PromptAwarePlacement.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PromptAwarePlacement.java
@@ -13,48 +13,48 @@
  */
 public final class PromptAwarePlacement implements PlacementPolicy {
     /** Reading speed taken until one was measured, in tokens a millisecond. */
-    private static final double FIRST_SPEED = 50;
+    private static final double INITIAL_TOKENS_PER_MILLI = 50;
     /** A prompt is long if reading it takes more than this share of the tightest pause that routes allow. */
-    private static final double LONG_SHARE = 0.4;
+    private static final double LONG_PROMPT_GAP_SHARE = 0.4;
     /** Tightest pause taken if no route states one, in milliseconds. */
-    private static final long FIRST_PAUSE_MILLIS = 120;
+    private static final long DEFAULT_MIN_GAP_MILLIS = 120;
     /** What a request in progress weighs, in prompt tokens: about one step of an engine. */
-    private static final int RUNNING_TOKENS = 150;
+    private static final int IN_FLIGHT_COST_TOKENS = 150;
     /**
      * What a prompt token to be read weighs against one that waits at the engine: it takes the engine's time from all who
      * wait, and since those with little to read go first, they hardly wait for the others.
      */
-    private static final double READING_WEIGHT = 8;
+    private static final double PREFILL_WEIGHT = 8;
     /** A server of another failure domain has to be better by this many tokens or requests' worth. */
-    private static final int OTHER_DOMAIN_TOKENS = 40;
+    private static final int OTHER_DOMAIN_COST_TOKENS = 40;
 
     /**
      * What a shared token of a prompt weighs for the engines to which it belongs while none is known to hold it: a little more
      * than reading it, so that the home is chosen unless others have a third of a second less to read.
      */
-    private static final double HOME_WEIGHT = 10;
+    private static final double AFFINITY_WEIGHT = 10;
 
     /** Fewer tokens than this aren't worth a fetch: it takes some milliseconds to begin, whatever its size. */
-    private static final int LEAST_FETCH = 1_000;
+    private static final int MIN_FETCH_TOKENS = 1_000;
     /** A fetch pays if it takes at most this share of the time that reading would take. */
-    private static final double FETCH_GAIN = 0.5;
+    private static final double MAX_FETCH_TIME_SHARE = 0.5;
     /** Mean size of what is to be read of a long prompt taken until some came, in tokens. */
-    private static final double FIRST_READING = 3_000;
+    private static final double INITIAL_MEAN_LONG_PREFILL_TOKENS = 3_000;
     /** Weight of the newest long prompt in that mean. */
-    private static final double NEWEST = 0.02;
+    private static final double SMOOTHING = 0.02;
 
-    private final Set<Mechanism> off;
-    private final PrefixCacheTracker memory = PrefixCacheTracker.create();
-    private final Map<String, DemandEstimator> meters = new HashMap<>();
+    private final Set<Mechanism> disabled;
+    private final PrefixCacheTracker prefixCaches = PrefixCacheTracker.create();
+    private final Map<String, DemandEstimator> demandByService = new HashMap<>();
     private Map<String, LaneDemand> peers = Map.of();
-    private final PrefillOrder order = PrefillOrder.create();
-    private final PrefillRateEstimator speed = PrefillRateEstimator.create(FIRST_SPEED);
-    private long tightestPause = FIRST_PAUSE_MILLIS;
-    private double meanReading = FIRST_READING;
-    private int turn;
+    private final PrefillOrder prefillOrder = PrefillOrder.create();
+    private final PrefillRateEstimator prefillRate = PrefillRateEstimator.create(INITIAL_TOKENS_PER_MILLI);
+    private long tightestPause = DEFAULT_MIN_GAP_MILLIS;
+    private double meanLongPrefillTokens = INITIAL_MEAN_LONG_PREFILL_TOKENS;
+    private int rotation;
 
-    private PromptAwarePlacement(Set<Mechanism> off) {
-        this.off = off;
+    private PromptAwarePlacement(Set<Mechanism> disabled) {
+        this.disabled = disabled;
     }
 
     /** Returns the policy, which knows nothing of any server yet. */
@@ -63,59 +63,60 @@
     }
 
     /** Returns the policy with some mechanisms switched off, for experiments. */
-    public static PromptAwarePlacement without(Set<Mechanism> off) {
-        return new PromptAwarePlacement(off);
+    public static PromptAwarePlacement without(Set<Mechanism> disabled) {
+        return new PromptAwarePlacement(disabled);
     }
 
     @Override
-    public void tightestPause(long millis) {
-        tightestPause = millis > 0 ? millis : FIRST_PAUSE_MILLIS;
+    public void updateMinEventGap(long minGapMillis) {
+        tightestPause = minGapMillis > 0 ? minGapMillis : DEFAULT_MIN_GAP_MILLIS;
     }
 
     /** Returns whether so many tokens are a long prompt: reading them makes the streams beside it pause. */
-    private boolean isLong(int tokens) {
-        return tokens > LONG_SHARE * tightestPause * speed.tokensPerMilli();
+    private boolean isLongPrompt(int tokens) {
+        return tokens > LONG_PROMPT_GAP_SHARE * tightestPause * prefillRate.tokensPerMilli();
     }
 
-    private DemandEstimator meter(String service, long now) {
-        return meters.computeIfAbsent(service, name -> DemandEstimator.create(now));
+    private DemandEstimator demandEstimator(String service, long nowMillis) {
+        return demandByService.computeIfAbsent(service, name -> DemandEstimator.create(nowMillis));
     }
 
     @Override
-    public void peers(Map<String, LaneDemand> demands) {
+    public void updatePeerDemands(Map<String, LaneDemand> demands) {
         peers = Map.copyOf(demands);
     }
 
     @Override
-    public Map<String, LaneDemand> demands(long now) {
+    public Map<String, LaneDemand> localDemands(long nowMillis) {
         Map<String, LaneDemand> demands = new HashMap<>();
-        meters.forEach((service, meter) -> demands.put(service, meter.demand(now)));
+        demandByService.forEach((service, estimator) -> demands.put(service, estimator.demand(nowMillis)));
         return demands;
     }
 
     @Override
-    public void kept(ServerInstance server, ServiceConfig service, List<PromptPart> parts, long now) {
-        memory.keep(server.life(), parts, service.memoryTokens(), now);
+    public void recordPeerPrefill(
+            ServerInstance server, ServiceConfig service, List<PromptPart> parts, long nowMillis) {
+        prefixCaches.recordPrefill(server.instanceId(), parts, service.cacheCapacityTokens(), nowMillis);
     }
 
     @Override
-    public void forget(String life) {
-        memory.forget(life);
+    public void forgetInstance(String instanceId) {
+        prefixCaches.forget(instanceId);
     }
 
     @Override
-    public Optional<Decision> place(PlacementRequest request, List<ServerInstance> candidates, long now) {
+    public Optional<Decision> place(PlacementRequest request, List<ServerInstance> candidates, long nowMillis) {
         if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        turn++;
-        if (!request.service().engines() || request.prompt().inputTokens() == 0) {
-            return Optional.of(leastBusy(request, candidates));
+        rotation++;
+        if (!request.service().hasModelEngines() || request.prompt().inputTokens() == 0) {
+            return Optional.of(leastLoaded(request, candidates));
         }
-        boolean longPrompt = isLong(request.prompt().inputTokens());
-        List<ServerInstance> lane = lane(request, longPrompt, candidates, now);
-        Decision best = best(request, lane, longPrompt);
-        return Optional.of(inOrder(request, withFetch(request, best, candidates, now)));
+        boolean longPrompt = isLongPrompt(request.prompt().inputTokens());
+        List<ServerInstance> lane = lane(request, longPrompt, candidates, nowMillis);
+        Decision best = chooseEngine(request, lane, longPrompt);
+        return Optional.of(withStep(request, withFetch(request, best, candidates, nowMillis)));
     }
 
     /**
@@ -127,41 +128,42 @@
      * parts have different homes spreads the load without nodes choosing the same engine on the same old reports. Only where a
      * prompt can't be in time at any of these it may go to all engines of the lane at which it can be.
      */
-    private Decision best(PlacementRequest request, List<ServerInstance> lane, boolean longPrompt) {
+    private Decision chooseEngine(PlacementRequest request, List<ServerInstance> lane, boolean longPrompt) {
         Prompt prompt = request.prompt();
-        PrefixAffinity homes = PrefixAffinity.of(prompt, lane);
-        int shared = prompt.sharedTokens();
-        int[] held = new int[lane.size()];
-        boolean heldByAny = false;
-        for (int i = 0; i < held.length; i++) {
-            held[i] = held(lane.get(i), prompt);
-            heldByAny |= held[i] >= shared;
+        PrefixAffinity affinity = PrefixAffinity.of(prompt, lane);
+        int sharedTokens = prompt.sharedTokens();
+        int[] cached = new int[lane.size()];
+        boolean cachedByAny = false;
+        for (int i = 0; i < cached.length; i++) {
+            cached[i] = cachedTokens(lane.get(i), prompt);
+            cachedByAny |= cached[i] >= sharedTokens;
         }
-        boolean restricted =
-                !off.contains(Mechanism.HOLDERS_ONLY) && (heldByAny || !off.contains(Mechanism.PREFIX_HOMES));
+        boolean restricted = !disabled.contains(Mechanism.HOLDERS_ONLY)
+                && (cachedByAny || !disabled.contains(Mechanism.PREFIX_HOMES));
         Decision best = null;
         double bestCost = 0;
-        Decision inTime = null;
-        double inTimeCost = 0;
-        double mostWait = AdmissionControl.inTimeMillis(request.route());
-        for (int i = 0; i < held.length; i++) {
-            int at = Math.floorMod(i + turn, held.length);
-            ServerInstance server = lane.get(at);
-            int home = off.contains(Mechanism.PREFIX_HOMES) ? -1 : homes.rank(server);
-            int toRead = Math.max(1, prompt.inputTokens() - held[at]);
-            double cost = cost(request, server, toRead) - (heldByAny ? 0 : preference(home, shared));
-            double wait = waitMillis(server, toRead);
-            boolean allowed = !restricted || held[at] >= shared || home >= 0;
+        Decision bestInTime = null;
+        double bestInTimeCost = 0;
+        double maxWaitMillis = AdmissionControl.maxWaitMillis(request.route());
+        for (int i = 0; i < cached.length; i++) {
+            int index = Math.floorMod(i + rotation, cached.length);
+            ServerInstance server = lane.get(index);
+            int position = disabled.contains(Mechanism.PREFIX_HOMES) ? -1 : affinity.position(server);
+            int tokensToPrefill = Math.max(1, prompt.inputTokens() - cached[index]);
+            double cost = cost(request, server, tokensToPrefill)
+                    - (cachedByAny ? 0 : affinityDiscount(position, sharedTokens));
+            double waitMillis = expectedWaitMillis(server, tokensToPrefill);
+            boolean allowed = !restricted || cached[index] >= sharedTokens || position >= 0;
             if (allowed && (best == null || cost < bestCost)) {
-                best = new Decision(server, toRead, 0, longPrompt, wait, Optional.empty());
+                best = new Decision(server, tokensToPrefill, 0, longPrompt, waitMillis, Optional.empty());
                 bestCost = cost;
             }
-            if (wait <= mostWait && (inTime == null || cost < inTimeCost)) {
-                inTime = new Decision(server, toRead, 0, longPrompt, wait, Optional.empty());
-                inTimeCost = cost;
+            if (waitMillis <= maxWaitMillis && (bestInTime == null || cost < bestInTimeCost)) {
+                bestInTime = new Decision(server, tokensToPrefill, 0, longPrompt, waitMillis, Optional.empty());
+                bestInTimeCost = cost;
             }
         }
-        return best.waitMillis() > mostWait && inTime != null ? inTime : best;
+        return best.expectedWaitMillis() > maxWaitMillis && bestInTime != null ? bestInTime : best;
     }
 
     /**
@@ -169,103 +171,109 @@
      * the part of what is to be read there that is in smaller pieces: half of it for one of the usual size. 0 until engines'
      * speed was measured: a node that has just started would turn callers away for a guess.
      */
-    private double waitMillis(ServerInstance server, int toRead) {
-        if (!speed.measured()) {
+    private double expectedWaitMillis(ServerInstance server, int tokensToPrefill) {
+        if (!prefillRate.isMeasured()) {
             return 0;
         }
-        double ahead = server.promptTokensOfAll() * (toRead / (toRead + meanReading));
-        return (ahead + toRead) / speed.tokensPerMilli();
+        double tokensAhead =
+                server.totalPendingPrefillTokens() * (tokensToPrefill / (tokensToPrefill + meanLongPrefillTokens));
+        return (tokensAhead + tokensToPrefill) / prefillRate.tokensPerMilli();
     }
 
     /**
      * Adds to a choice what the engine should fetch. It changes no choice: that a fetch costs little must not make a prompt
      * leave the engines that hold its parts, since every copy takes memory from other parts.
      */
-    private Decision withFetch(PlacementRequest request, Decision placed, List<ServerInstance> candidates, long now) {
-        if (off.contains(Mechanism.FETCH)) {
-            return placed;
+    private Decision withFetch(
+            PlacementRequest request, Decision decision, List<ServerInstance> candidates, long nowMillis) {
+        if (disabled.contains(Mechanism.FETCH)) {
+            return decision;
         }
-        int here = held(placed.server(), request.prompt());
-        if (request.prompt().sharedTokens() - here < LEAST_FETCH) {
-            return placed;
+        int cachedTokens = cachedTokens(decision.server(), request.prompt());
+        if (request.prompt().sharedTokens() - cachedTokens < MIN_FETCH_TOKENS) {
+            return decision;
         }
-        int most = here + LEAST_FETCH - 1;
+        int maxFetchableTokens = cachedTokens + MIN_FETCH_TOKENS - 1;
         ServerInstance source = null;
         for (ServerInstance server : candidates) {
-            int there = memory.read(server.life(), request.prompt(), now);
-            if (server != placed.server() && there > most) {
+            int fetchableTokens = prefixCaches.fetchableTokens(server.instanceId(), request.prompt(), nowMillis);
+            if (server != decision.server() && fetchableTokens > maxFetchableTokens) {
                 source = server;
-                most = there;
+                maxFetchableTokens = fetchableTokens;
             }
         }
         if (source == null) {
-            return placed;
+            return decision;
         }
-        int tokens = most - here;
-        double share = request.service().fetchMillis(tokens) * speed.tokensPerMilli() / tokens;
-        if (share > FETCH_GAIN) {
-            return placed;
+        int tokens = maxFetchableTokens - cachedTokens;
+        double timeShare = request.service().fetchMillis(tokens) * prefillRate.tokensPerMilli() / tokens;
+        if (timeShare > MAX_FETCH_TIME_SHARE) {
+            return decision;
         }
-        int toRead = Math.max(1, placed.tokensToRead() - (int) ((1 - share) * tokens));
-        return placed.fetching(new PrefixFetch(source, tokens), toRead);
+        int tokensToPrefill = Math.max(1, decision.tokensToPrefill() - (int) ((1 - timeShare) * tokens));
+        return decision.withFetch(new PrefixFetch(source, tokens), tokensToPrefill);
     }
 
-    private int held(ServerInstance server, Prompt prompt) {
-        return off.contains(Mechanism.PREFIX_MEMORY) ? 0 : memory.held(server.life(), prompt);
+    private int cachedTokens(ServerInstance server, Prompt prompt) {
+        return disabled.contains(Mechanism.PREFIX_MEMORY) ? 0 : prefixCaches.cachedTokens(server.instanceId(), prompt);
     }
 
     /** Returns the tokens by which an engine costs less than others, since shared parts of a prompt belong there. */
-    private static double preference(int home, int sharedTokens) {
-        return home < 0 ? 0 : HOME_WEIGHT * sharedTokens / (home + 1);
+    private static double affinityDiscount(int position, int sharedTokens) {
+        return position < 0 ? 0 : AFFINITY_WEIGHT * sharedTokens / (position + 1);
     }
 
-    private Decision inOrder(PlacementRequest request, Decision placed) {
-        if (off.contains(Mechanism.READING_ORDER)) {
-            return placed;
+    private Decision withStep(PlacementRequest request, Decision decision) {
+        if (disabled.contains(Mechanism.READING_ORDER)) {
+            return decision;
         }
-        int step = order.step(request.route(), request.prompt(), placed.tokensToRead(), speed.tokensPerMilli());
-        return placed.at(step);
+        int step = prefillOrder.step(
+                request.route(), request.prompt(), decision.tokensToPrefill(), prefillRate.tokensPerMilli());
+        return decision.withStep(step);
     }
 
     @Override
-    public void sent(PlacementRequest request, Decision placed, long now) {
-        if (!request.service().engines()) {
+    public void recordSent(PlacementRequest request, Decision decision, long nowMillis) {
+        if (!request.service().hasModelEngines()) {
             return;
         }
-        memory.keep(
-                placed.server().life(),
+        prefixCaches.recordPrefill(
+                decision.server().instanceId(),
                 request.prompt().sharedParts(),
-                request.service().memoryTokens(),
-                now);
-        DemandEstimator meter = meter(request.service().name(), now);
-        meter.sent(placed.longPrompt(), placed.tokensToRead(), now);
-        meter.rank(placed.longPrompt(), request.route().priority(), now);
-        if (placed.longPrompt()) {
-            meanReading += NEWEST * (placed.tokensToRead() - meanReading);
+                request.service().cacheCapacityTokens(),
+                nowMillis);
+        DemandEstimator estimator = demandEstimator(request.service().name(), nowMillis);
+        estimator.recordPrompt(decision.longPrompt(), decision.tokensToPrefill(), nowMillis);
+        estimator.recordRank(decision.longPrompt(), request.route().priority(), nowMillis);
+        if (decision.longPrompt()) {
+            meanLongPrefillTokens += SMOOTHING * (decision.tokensToPrefill() - meanLongPrefillTokens);
         }
     }
 
     @Override
-    public void read(PlacementRequest request, Decision placed, long millis) {
+    public void recordPrefill(PlacementRequest request, Decision decision, long firstOutputMillis) {
         // Shared parts may be held though nobody here knows of it, after a restart above all. Were they counted as
         // read, an
         // engine would seem many times as fast as it is, and large prompts would count as short ones.
-        speed.read(request.prompt().inputTokens() - request.prompt().sharedTokens(), millis);
+        prefillRate.recordPrefill(
+                request.prompt().inputTokens() - request.prompt().sharedTokens(), firstOutputMillis);
     }
 
     @Override
-    public void ended(PlacementRequest request, Decision placed, long now) {
-        if (request.service().engines() && !placed.longPrompt()) {
-            meter(request.service().name(), now).shortEnded();
+    public void recordEnd(PlacementRequest request, Decision decision, long nowMillis) {
+        if (request.service().hasModelEngines() && !decision.longPrompt()) {
+            demandEstimator(request.service().name(), nowMillis).recordShortEnd();
         }
     }
 
-    private double cost(PlacementRequest request, ServerInstance server, int toRead) {
-        double cost = server.promptTokensOfAll() + READING_WEIGHT * toRead + RUNNING_TOKENS * server.runningOfAll();
-        if (server.runningOfAll() >= server.slots()) {
-            cost += (double) RUNNING_TOKENS * 10 * (server.runningOfAll() - server.slots() + 1);
+    private double cost(PlacementRequest request, ServerInstance server, int tokensToPrefill) {
+        double cost = server.totalPendingPrefillTokens()
+                + PREFILL_WEIGHT * tokensToPrefill
+                + IN_FLIGHT_COST_TOKENS * server.totalInFlight();
+        if (server.totalInFlight() >= server.slots()) {
+            cost += (double) IN_FLIGHT_COST_TOKENS * 10 * (server.totalInFlight() - server.slots() + 1);
         }
-        return server.domain().equals(request.domain()) ? cost : cost + OTHER_DOMAIN_TOKENS;
+        return server.domain().equals(request.domain()) ? cost : cost + OTHER_DOMAIN_COST_TOKENS;
     }
 
     /**
@@ -273,33 +281,39 @@
      * lanes without asking each other.
      */
     private List<ServerInstance> lane(
-            PlacementRequest request, boolean longPrompt, List<ServerInstance> candidates, long now) {
-        if (off.contains(Mechanism.LANES)) {
+            PlacementRequest request, boolean longPrompt, List<ServerInstance> candidates, long nowMillis) {
+        if (disabled.contains(Mechanism.LANES)) {
             return candidates;
         }
         String service = request.service().name();
-        LaneDemand demand = meter(service, now).demand(now).plus(peers.getOrDefault(service, LaneDemand.NONE));
-        double promptMillis = Math.max(1, meter(service, now).shortPrompt() / speed.tokensPerMilli());
-        int shortEngines = LaneSizing.shortEngines(
+        LaneDemand demand = demandEstimator(service, nowMillis)
+                .demand(nowMillis)
+                .plus(peers.getOrDefault(service, LaneDemand.NONE));
+        double shortPrefillMillis =
+                Math.max(1, demandEstimator(service, nowMillis).meanShortPromptTokens() / prefillRate.tokensPerMilli());
+        int shortLaneSize = LaneSizing.shortLaneSize(
                 candidates.size(),
                 request.service().slots(),
                 demand,
-                speed.tokensPerMilli(),
-                LaneSizing.shortReading(tightestPause, promptMillis),
-                !off.contains(Mechanism.URGENT_LANE) && meter(service, now).shortMoreUrgent());
-        if (shortEngines >= candidates.size()) {
+                prefillRate.tokensPerMilli(),
+                LaneSizing.shortPrefillShare(tightestPause, shortPrefillMillis),
+                !disabled.contains(Mechanism.URGENT_LANE)
+                        && demandEstimator(service, nowMillis).isShortMoreUrgent());
+        if (shortLaneSize >= candidates.size()) {
             return candidates;
         }
-        List<ServerInstance> own =
-                longPrompt ? candidates.subList(shortEngines, candidates.size()) : candidates.subList(0, shortEngines);
-        boolean mayOverflow =
-                !longPrompt || request.route().priority() <= meter(service, now).urgentShort(now);
+        List<ServerInstance> ownLane = longPrompt
+                ? candidates.subList(shortLaneSize, candidates.size())
+                : candidates.subList(0, shortLaneSize);
+        boolean mayOverflow = !longPrompt
+                || request.route().priority()
+                        <= demandEstimator(service, nowMillis).mostUrgentShortRank(nowMillis);
         if (!mayOverflow
-                || off.contains(Mechanism.LANE_OVERFLOW)
-                || !withPlace(own).isEmpty()) {
-            return own;
+                || disabled.contains(Mechanism.LANE_OVERFLOW)
+                || !withFreeSlot(ownLane).isEmpty()) {
+            return ownLane;
         }
-        List<ServerInstance> free = withPlace(candidates);
+        List<ServerInstance> free = withFreeSlot(candidates);
         return free.isEmpty() ? candidates : free;
     }
 
@@ -309,28 +323,28 @@
      * long, however much there is to read. Long prompts that are less urgent than the short ones stay, though: in a long
      * burst they fill the long lane and would then fill the short one, whose streams pause for each of them.
      */
-    private static List<ServerInstance> withPlace(List<ServerInstance> lane) {
+    private static List<ServerInstance> withFreeSlot(List<ServerInstance> lane) {
         List<ServerInstance> free = new ArrayList<>();
         for (ServerInstance server : lane) {
-            if (server.runningOfAll() < server.slots()) {
+            if (server.totalInFlight() < server.slots()) {
                 free.add(server);
             }
         }
         return free;
     }
 
-    private Decision leastBusy(PlacementRequest request, List<ServerInstance> candidates) {
+    private Decision leastLoaded(PlacementRequest request, List<ServerInstance> candidates) {
         ServerInstance best = null;
         double bestCost = 0;
         for (int i = 0; i < candidates.size(); i++) {
-            ServerInstance server = candidates.get(Math.floorMod(i + turn, candidates.size()));
-            double cost = server.runningOfAll() / (double) Math.max(1, server.slots())
+            ServerInstance server = candidates.get(Math.floorMod(i + rotation, candidates.size()));
+            double cost = server.totalInFlight() / (double) Math.max(1, server.slots())
                     + (server.domain().equals(request.domain()) ? 0 : 0.01);
             if (best == null || cost < bestCost) {
                 best = server;
                 bestCost = cost;
             }
         }
-        return Decision.plain(best, 0);
+        return Decision.unordered(best, 0);
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/RankGate.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/RankGate.java
@@ -16,9 +16,9 @@
  */
 public final class RankGate {
     /** Overdue requests that show a shortage: one may be a lost answer, or a prompt of unusual size. */
-    private static final int SHORTAGE = 2;
+    private static final int MIN_OVERDUE = 2;
 
-    private final Map<String, Set<PendingRequest>> byServer = new HashMap<>();
+    private final Map<String, Set<PendingRequest>> pendingByInstanceId = new HashMap<>();
 
     private RankGate() {}
 
@@ -32,14 +32,14 @@
      * record as a key takes 25 ms of a restarted process before its first request is sent.
      */
     public static final class PendingRequest {
-        private final String server;
+        private final String instanceId;
         private final int rank;
-        private final long dueAt;
+        private final long dueAtMillis;
 
-        private PendingRequest(String server, int rank, long dueAt) {
-            this.server = server;
+        private PendingRequest(String instanceId, int rank, long dueAtMillis) {
+            this.instanceId = instanceId;
             this.rank = rank;
-            this.dueAt = dueAt;
+            this.dueAtMillis = dueAtMillis;
         }
 
         /**
@@ -49,30 +49,32 @@
          * @param rank 0 is the most urgent
          * @param dueAt time at which its first output is due, in milliseconds
          */
-        public static PendingRequest of(String server, int rank, long dueAt) {
-            return new PendingRequest(server, rank, dueAt);
+        public static PendingRequest of(String instanceId, int rank, long dueAtMillis) {
+            return new PendingRequest(instanceId, rank, dueAtMillis);
         }
     }
 
     /** Notes a request that was sent. */
-    public void sent(PendingRequest request) {
-        byServer.computeIfAbsent(request.server, life -> new HashSet<>()).add(request);
+    public void recordSent(PendingRequest request) {
+        pendingByInstanceId
+                .computeIfAbsent(request.instanceId, id -> new HashSet<>())
+                .add(request);
     }
 
     /** Notes that a request has output, or has ended. */
-    public void settled(PendingRequest request) {
-        Set<PendingRequest> waiting = byServer.get(request.server);
-        if (waiting != null && waiting.remove(request) && waiting.isEmpty()) {
-            byServer.remove(request.server);
+    public void recordSettled(PendingRequest request) {
+        Set<PendingRequest> pending = pendingByInstanceId.get(request.instanceId);
+        if (pending != null && pending.remove(request) && pending.isEmpty()) {
+            pendingByInstanceId.remove(request.instanceId);
         }
     }
 
     /** Returns whether a request has to yield to more urgent ones at a server. */
-    public boolean yields(int rank, String server, long now) {
-        return byServer.getOrDefault(server, Set.of()).stream()
-                        .filter(other -> other.rank < rank && other.dueAt < now)
-                        .limit(SHORTAGE)
+    public boolean mustYield(int rank, String instanceId, long nowMillis) {
+        return pendingByInstanceId.getOrDefault(instanceId, Set.of()).stream()
+                        .filter(other -> other.rank < rank && other.dueAtMillis < nowMillis)
+                        .limit(MIN_OVERDUE)
                         .count()
-                >= SHORTAGE;
+                >= MIN_OVERDUE;
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/RelayConfig.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/RelayConfig.java
@@ -13,40 +13,40 @@
     private final long version;
     private final Map<String, Map<String, Route>> routes = new HashMap<>();
     private final Map<String, ServiceConfig> services = new HashMap<>();
-    private final Map<String, WorkspaceConfig> workspaces;
+    private final Map<String, WorkspaceConfig> workspaceByKey;
     private final CallerLimits limits;
     private final List<Integer> workspaceRanks;
     private final List<Integer> routeRanks;
-    private final Map<String, List<Integer>> serviceRanks = new HashMap<>();
+    private final Map<String, List<Integer>> ranksByService = new HashMap<>();
 
     private RelayConfig(
             long version,
             List<Route> routes,
             List<ServiceConfig> services,
-            Map<String, WorkspaceConfig> workspaces,
+            Map<String, WorkspaceConfig> workspaceByKey,
             CallerLimits limits) {
         this.version = version;
         for (Route route : routes) {
-            this.routes.computeIfAbsent(route.host(), host -> new HashMap<>()).put(route.prefix(), route);
+            this.routes.computeIfAbsent(route.host(), host -> new HashMap<>()).put(route.pathPrefix(), route);
         }
         for (ServiceConfig service : services) {
             this.services.put(service.name(), service);
         }
-        this.workspaces = Map.copyOf(workspaces);
+        this.workspaceByKey = Map.copyOf(workspaceByKey);
         this.limits = limits;
-        this.workspaceRanks = workspaces.values().stream()
+        this.workspaceRanks = workspaceByKey.values().stream()
                 .flatMap(workspace -> workspace.priority().stream().boxed())
                 .distinct()
                 .sorted()
                 .toList();
         for (Route route : routes) {
-            for (WeightedService share : route.shares()) {
-                serviceRanks
+            for (WeightedService share : route.weightedServices()) {
+                ranksByService
                         .computeIfAbsent(share.service(), name -> new ArrayList<>())
                         .add(route.priority());
             }
         }
-        serviceRanks.replaceAll(
+        ranksByService.replaceAll(
                 (name, ranks) -> ranks.stream().distinct().sorted().toList());
         this.routeRanks =
                 routes.stream().map(Route::priority).distinct().sorted().toList();
@@ -61,9 +61,9 @@
             long version,
             List<Route> routes,
             List<ServiceConfig> services,
-            Map<String, WorkspaceConfig> workspaces,
+            Map<String, WorkspaceConfig> workspaceByKey,
             CallerLimits limits) {
-        return new RelayConfig(version, routes, services, workspaces, limits);
+        return new RelayConfig(version, routes, services, workspaceByKey, limits);
     }
 
     public long version() {
@@ -75,8 +75,8 @@
     }
 
     /** Returns the ranks in force as text, of workspaces and of the routes of each service. */
-    public String ranks() {
-        return "workspaces " + workspaceRanks + ", routes " + serviceRanks;
+    public String rankSummary() {
+        return "workspaces " + workspaceRanks + ", routes " + ranksByService;
     }
 
     /** Returns how many routes there are. */
@@ -85,10 +85,10 @@
     }
 
     /** Returns the tightest pause between events that a route allows, in milliseconds; 0 if none states one. */
-    public long tightestPause() {
+    public long minEventGapMillis() {
         return routes.values().stream()
-                .flatMap(ofHost -> ofHost.values().stream())
-                .mapToLong(Route::gapMillis)
+                .flatMap(routesByPrefix -> routesByPrefix.values().stream())
+                .mapToLong(Route::maxEventGapMillis)
                 .filter(millis -> millis > 0)
                 .min()
                 .orElse(0);
@@ -102,7 +102,7 @@
      * run on where short, urgent ones of all others are preempted.
      */
     public int rank(Optional<WorkspaceConfig> workspace, Route route) {
-        return kind(route, routeRanks) * workspaceCount() + standing(workspace);
+        return routeRank(route, routeRanks) * workspaceRankCount() + workspaceRank(workspace);
     }
 
     /**
@@ -110,44 +110,45 @@
      *
      * @param step its place among the requests of its rank
      */
-    public int level(Optional<WorkspaceConfig> workspace, Route route, String service, int step) {
-        List<Integer> kinds = serviceRanks.getOrDefault(service, routeRanks);
-        return PriorityLevels.level(kind(route, kinds), kinds.size(), standing(workspace), workspaceCount(), step);
+    public int priorityLevel(Optional<WorkspaceConfig> workspace, Route route, String service, int step) {
+        List<Integer> ranks = ranksByService.getOrDefault(service, routeRanks);
+        return PriorityLevels.level(
+                routeRank(route, ranks), ranks.size(), workspaceRank(workspace), workspaceRankCount(), step);
     }
 
     /** Returns whether no request for a service may have a less urgent rank than one of a workspace on a route. */
-    public boolean leastUrgent(Optional<WorkspaceConfig> workspace, Route route, String service) {
-        List<Integer> kinds = serviceRanks.getOrDefault(service, routeRanks);
-        return kind(route, kinds) >= kinds.size() - 1 && standing(workspace) >= workspaceCount() - 1;
+    public boolean isLeastUrgent(Optional<WorkspaceConfig> workspace, Route route, String service) {
+        List<Integer> ranks = ranksByService.getOrDefault(service, routeRanks);
+        return routeRank(route, ranks) >= ranks.size() - 1 && workspaceRank(workspace) >= workspaceRankCount() - 1;
     }
 
-    private int workspaceCount() {
+    private int workspaceRankCount() {
         return Math.max(1, workspaceRanks.size());
     }
 
-    private int standing(Optional<WorkspaceConfig> workspace) {
-        OptionalInt own = workspace.map(WorkspaceConfig::priority).orElseGet(OptionalInt::empty);
-        return own.isPresent() ? workspaceRanks.indexOf(own.getAsInt()) : workspaceRanks.size() / 2;
+    private int workspaceRank(Optional<WorkspaceConfig> workspace) {
+        OptionalInt priority = workspace.map(WorkspaceConfig::priority).orElseGet(OptionalInt::empty);
+        return priority.isPresent() ? workspaceRanks.indexOf(priority.getAsInt()) : workspaceRanks.size() / 2;
     }
 
-    private static int kind(Route route, List<Integer> ranks) {
+    private static int routeRank(Route route, List<Integer> ranks) {
         return Math.max(0, ranks.indexOf(route.priority()));
     }
 
     /** Returns whether callers need a key on routes that aren't open. */
-    public boolean keysNeeded() {
-        return !workspaces.isEmpty();
+    public boolean requiresKey() {
+        return !workspaceByKey.isEmpty();
     }
 
     /** Returns the workspace that holds a key, if one does. */
     public Optional<WorkspaceConfig> workspace(String key) {
-        return Optional.ofNullable(workspaces.get(key));
+        return Optional.ofNullable(workspaceByKey.get(key));
     }
 
     /** Returns what the operators tell of a service; a plain service without bounds if they don't. */
     public ServiceConfig service(String name) {
-        ServiceConfig terms = services.get(name);
-        return terms == null ? ServiceConfig.of(name, Integer.MAX_VALUE, 0, 0) : terms;
+        ServiceConfig config = services.get(name);
+        return config == null ? ServiceConfig.of(name, Integer.MAX_VALUE, 0, 0) : config;
     }
 
     /**
@@ -159,14 +160,14 @@
      * @param target path, with or without query
      */
     public Optional<Route> route(String host, String target) {
-        Map<String, Route> ofHost = routes.get(plainHost(host));
-        if (ofHost == null) {
+        Map<String, Route> routesByPrefix = routes.get(hostName(host));
+        if (routesByPrefix == null) {
             return Optional.empty();
         }
         int end = target.indexOf('?');
         String path = end < 0 ? target : target.substring(0, end);
         for (int slash = path.lastIndexOf('/'); slash >= 0; slash = path.lastIndexOf('/', slash - 1)) {
-            Route route = ofHost.get(path.substring(0, slash + 1));
+            Route route = routesByPrefix.get(path.substring(0, slash + 1));
             if (route != null) {
                 return Optional.of(route);
             }
@@ -174,7 +175,7 @@
         return Optional.empty();
     }
 
-    private static String plainHost(String host) {
+    private static String hostName(String host) {
         int colon = host.lastIndexOf(':');
         String name = colon > host.lastIndexOf(']') ? host.substring(0, colon) : host;
         return name.toLowerCase(Locale.ROOT);
--- a/core/src/main/java/org/tanagerhinge/core/relay/Route.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/Route.java
@@ -20,19 +20,19 @@
 public record Route(
         String name,
         String host,
-        String prefix,
+        String pathPrefix,
         RouteKind kind,
         boolean resumable,
-        List<WeightedService> shares,
+        List<WeightedService> weightedServices,
         int maxAttempts,
         long timeoutMillis,
         long targetMillis,
-        long gapMillis,
+        long maxEventGapMillis,
         int priority,
-        boolean open,
-        boolean prompts) {
+        boolean anonymous,
+        boolean describesPrompts) {
     /** Sends beyond those that may have run: a refusal costs little, but each one draws on the shared budget. */
-    private static final int MORE_SENDS = 2;
+    private static final int EXTRA_SENDS = 2;
 
     /** Returns whether a request may run more than once without harm. */
     public boolean idempotent() {
@@ -41,7 +41,7 @@
 
     /** Returns how often one request may be sent. */
     public AttemptTerms attemptTerms() {
-        return new AttemptTerms(idempotent(), maxAttempts, Integer.MAX_VALUE, maxAttempts + MORE_SENDS);
+        return new AttemptTerms(idempotent(), maxAttempts, Integer.MAX_VALUE, maxAttempts + EXTRA_SENDS);
     }
 
     /**
@@ -49,21 +49,21 @@
      *
      * @param draw a number that is spread evenly over all ints, the same for every attempt of one request
      */
-    public String service(int draw) {
-        long total = 0;
-        for (WeightedService share : shares) {
-            total += share.weight();
+    public String service(int selector) {
+        long totalWeight = 0;
+        for (WeightedService candidate : weightedServices) {
+            totalWeight += candidate.weight();
         }
-        if (total <= 0) {
-            return shares.get(0).service();
+        if (totalWeight <= 0) {
+            return weightedServices.get(0).service();
         }
-        long point = Math.floorMod((long) draw, total);
-        for (WeightedService share : shares) {
-            point -= share.weight();
+        long point = Math.floorMod((long) selector, totalWeight);
+        for (WeightedService candidate : weightedServices) {
+            point -= candidate.weight();
             if (point < 0) {
-                return share.service();
+                return candidate.service();
             }
         }
-        return shares.get(shares.size() - 1).service();
+        return weightedServices.get(weightedServices.size() - 1).service();
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServerAnnouncements.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerAnnouncements.java
@@ -15,15 +15,15 @@
  */
 public final class ServerAnnouncements {
     /** How long it is remembered that a server leaves: longer than one takes to do so, in milliseconds. */
-    static final long LEAVING_MILLIS = 600_000;
+    static final long LEAVING_TTL_MILLIS = 600_000;
     /** Servers whose words are remembered at the most; the oldest words make room. */
-    static final int MOST = 1_024;
+    static final int MAX_SERVERS = 1_024;
     /** How often a node tells the others of a server that leaves: datagrams are lost. */
-    private static final int TELLINGS = 3;
+    private static final int REPORTS_PER_ANNOUNCEMENT = 3;
     /** Servers told in one report at the most. */
-    static final int MOST_TOLD = 16;
+    static final int MAX_SERVERS_PER_REPORT = 16;
 
-    private final Map<String, Announcement> words = new LinkedHashMap<>();
+    private final Map<String, Announcement> announcementByInstanceId = new LinkedHashMap<>();
 
     private ServerAnnouncements() {}
 
@@ -33,12 +33,12 @@
     }
 
     private static final class Announcement {
-        private long leavingUntil = Long.MIN_VALUE;
-        private long nothingUntil = Long.MIN_VALUE;
-        private int tellings;
+        private long leavingUntilMillis = Long.MIN_VALUE;
+        private long backoffUntilMillis = Long.MIN_VALUE;
+        private int pendingReports;
 
-        private boolean over(long now) {
-            return now >= leavingUntil && now >= nothingUntil;
+        private boolean expired(long nowMillis) {
+            return nowMillis >= leavingUntilMillis && nowMillis >= backoffUntilMillis;
         }
     }
 
@@ -47,14 +47,14 @@
      *
      * @return whether that is news
      */
-    public boolean leaves(String life, long now) {
-        Announcement word = word(life);
-        boolean news = now >= word.leavingUntil;
-        word.leavingUntil = now + LEAVING_MILLIS;
-        if (news) {
-            word.tellings = TELLINGS;
+    public boolean recordLeaving(String instanceId, long nowMillis) {
+        Announcement announcement = announcement(instanceId);
+        boolean isNew = nowMillis >= announcement.leavingUntilMillis;
+        announcement.leavingUntilMillis = nowMillis + LEAVING_TTL_MILLIS;
+        if (isNew) {
+            announcement.pendingReports = REPORTS_PER_ANNOUNCEMENT;
         }
-        return news;
+        return isNew;
     }
 
     /**
@@ -62,72 +62,74 @@
      *
      * @return whether that is news
      */
-    public boolean heardThatLeaves(String life, long now) {
-        boolean news = leaves(life, now);
-        if (news) {
-            word(life).tellings = 0;
+    public boolean recordPeerReportedLeaving(String instanceId, long nowMillis) {
+        boolean isNew = recordLeaving(instanceId, nowMillis);
+        if (isNew) {
+            announcement(instanceId).pendingReports = 0;
         }
-        return news;
+        return isNew;
     }
 
     /** Notes that a server wants no requests of this node until a time. */
-    public void wantsNothing(String life, long until) {
-        Announcement word = word(life);
-        word.nothingUntil = Math.max(word.nothingUntil, until);
+    public void recordBackoff(String instanceId, long untilMillis) {
+        Announcement announcement = announcement(instanceId);
+        announcement.backoffUntilMillis = Math.max(announcement.backoffUntilMillis, untilMillis);
     }
 
     /** Returns whether a server has said that it leaves. */
-    public boolean leaving(String life, long now) {
-        Announcement word = words.get(life);
-        return word != null && now < word.leavingUntil;
+    public boolean isLeaving(String instanceId, long nowMillis) {
+        Announcement announcement = announcementByInstanceId.get(instanceId);
+        return announcement != null && nowMillis < announcement.leavingUntilMillis;
     }
 
     /** Returns for how long a server wants nothing of this node, in milliseconds; 0 if it takes requests. */
-    public long nothingMillis(String life, long now) {
-        Announcement word = words.get(life);
-        return word == null || now >= word.nothingUntil ? 0 : word.nothingUntil - now;
+    public long backoffMillis(String instanceId, long nowMillis) {
+        Announcement announcement = announcementByInstanceId.get(instanceId);
+        return announcement == null || nowMillis >= announcement.backoffUntilMillis
+                ? 0
+                : announcement.backoffUntilMillis - nowMillis;
     }
 
     /** Returns whether a server may be sent requests, by all that it has said. */
-    public boolean takesRequests(String life, long now) {
-        Announcement word = words.get(life);
-        return word == null || word.over(now);
+    public boolean acceptsRequests(String instanceId, long nowMillis) {
+        Announcement announcement = announcementByInstanceId.get(instanceId);
+        return announcement == null || announcement.expired(nowMillis);
     }
 
     /** Returns the lives of servers that have said since the last report that they leave, to be told now. */
-    public List<String> news() {
-        List<String> news = new ArrayList<>();
-        for (Map.Entry<String, Announcement> entry : words.entrySet()) {
-            if (entry.getValue().tellings > 0 && news.size() < MOST_TOLD) {
-                entry.getValue().tellings--;
-                news.add(entry.getKey());
+    public List<String> nextLeavingReport() {
+        List<String> leaving = new ArrayList<>();
+        for (Map.Entry<String, Announcement> entry : announcementByInstanceId.entrySet()) {
+            if (entry.getValue().pendingReports > 0 && leaving.size() < MAX_SERVERS_PER_REPORT) {
+                entry.getValue().pendingReports--;
+                leaving.add(entry.getKey());
             }
         }
-        return news;
+        return leaving;
     }
 
     /** Forgets what has lapsed. */
-    public void trim(long now) {
-        words.values().removeIf(word -> word.over(now));
+    public void removeExpired(long nowMillis) {
+        announcementByInstanceId.values().removeIf(announcement -> announcement.expired(nowMillis));
     }
 
     /** Returns how many servers' words are remembered. */
     public int size() {
-        return words.size();
+        return announcementByInstanceId.size();
     }
 
-    private Announcement word(String life) {
-        Announcement known = words.get(life);
-        if (known != null) {
-            return known;
+    private Announcement announcement(String instanceId) {
+        Announcement existing = announcementByInstanceId.get(instanceId);
+        if (existing != null) {
+            return existing;
         }
-        if (words.size() >= MOST) {
-            Iterator<String> oldest = words.keySet().iterator();
+        if (announcementByInstanceId.size() >= MAX_SERVERS) {
+            Iterator<String> oldest = announcementByInstanceId.keySet().iterator();
             oldest.next();
             oldest.remove();
         }
-        Announcement fresh = new Announcement();
-        words.put(life, fresh);
-        return fresh;
+        Announcement added = new Announcement();
+        announcementByInstanceId.put(instanceId, added);
+        return added;
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServerChange.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerChange.java
@@ -3,17 +3,17 @@
 /**
  * A change of what this node believes of a backend server.
  *
- * @param life name of the server's life ({@link ServerRegistration#life()})
+ * @param life name of the server's life ({@link ServerRegistration#instanceId()})
  */
-public record ServerChange(String id, String life, String service, Kind kind) {
+public record ServerChange(String id, String instanceId, String service, Kind kind) {
     static ServerChange of(ServerInstance server, Kind kind) {
-        return new ServerChange(server.id(), server.life(), server.service(), kind);
+        return new ServerChange(server.id(), server.instanceId(), server.service(), kind);
     }
 
     /** What has changed. */
     public enum Kind {
-        SEEN,
+        ADDED,
         DRAINING,
-        GONE
+        REMOVED
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServerDirectory.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerDirectory.java
@@ -17,14 +17,14 @@
  */
 public final class ServerDirectory {
     /** Without a list for this long the store counts as away, in milliseconds: a few polls in a row failed. */
-    private static final long AWAY_MILLIS = 2_000;
+    private static final long STORE_OUTAGE_MILLIS = 2_000;
     /** How long lapsed registrations are waited for after the store's return: told by the platform, and some slack. */
-    private static final long LAPSED_MILLIS = 2_200;
+    private static final long REGISTRATION_RECOVERY_MILLIS = 2_200;
 
-    private final Map<String, ServerInstance> servers = new LinkedHashMap<>();
-    private final Map<String, List<ServerInstance>> byService = new HashMap<>();
-    private long lastList = Long.MIN_VALUE;
-    private long keepMissingUntil = Long.MIN_VALUE;
+    private final Map<String, ServerInstance> instanceByServerId = new LinkedHashMap<>();
+    private final Map<String, List<ServerInstance>> instancesByService = new HashMap<>();
+    private long newestListMillis = Long.MIN_VALUE;
+    private long keepMissingUntilMillis = Long.MIN_VALUE;
 
     private ServerDirectory() {}
 
@@ -42,114 +42,115 @@
      * @param now time at which the list was asked for, in milliseconds
      * @return what has changed, for the log
      */
-    public List<ServerChange> apply(Collection<ServerRegistration> list, long now) {
+    public List<ServerChange> apply(Collection<ServerRegistration> registrations, long requestedAtMillis) {
         List<ServerChange> changes = new ArrayList<>();
-        boolean newest = now >= lastList;
-        if (lastList != Long.MIN_VALUE && now - lastList > AWAY_MILLIS) {
-            keepMissingUntil = now + LAPSED_MILLIS;
+        boolean newest = requestedAtMillis >= newestListMillis;
+        if (newestListMillis != Long.MIN_VALUE && requestedAtMillis - newestListMillis > STORE_OUTAGE_MILLIS) {
+            keepMissingUntilMillis = requestedAtMillis + REGISTRATION_RECOVERY_MILLIS;
         }
-        lastList = Math.max(lastList, now);
-        Map<String, ServerRegistration> seen = new HashMap<>();
-        for (ServerRegistration registration : list) {
-            seen.put(registration.id(), registration);
-            ServerInstance known = servers.get(registration.id());
-            boolean sameLife = known == null || known.registration().born() == registration.born();
-            if (!sameLife && !newest) {
+        newestListMillis = Math.max(newestListMillis, requestedAtMillis);
+        Map<String, ServerRegistration> listed = new HashMap<>();
+        for (ServerRegistration registration : registrations) {
+            listed.put(registration.id(), registration);
+            ServerInstance current = instanceByServerId.get(registration.id());
+            boolean sameInstance =
+                    current == null || current.registration().startedAtMillis() == registration.startedAtMillis();
+            if (!sameInstance && !newest) {
                 continue;
             }
-            if (!sameLife) {
-                known.markGone();
-                changes.add(ServerChange.of(known, ServerChange.Kind.GONE));
-                known = null;
+            if (!sameInstance) {
+                current.markRemoved();
+                changes.add(ServerChange.of(current, ServerChange.Kind.REMOVED));
+                current = null;
             }
-            if (known == null) {
-                ServerInstance fresh = ServerInstance.of(registration);
-                servers.put(registration.id(), fresh);
-                changes.add(ServerChange.of(fresh, ServerChange.Kind.SEEN));
+            if (current == null) {
+                ServerInstance added = ServerInstance.of(registration);
+                instanceByServerId.put(registration.id(), added);
+                changes.add(ServerChange.of(added, ServerChange.Kind.ADDED));
                 continue;
             }
-            if (registration.draining() && known.open()) {
-                changes.add(ServerChange.of(known, ServerChange.Kind.DRAINING));
+            if (registration.draining() && current.available()) {
+                changes.add(ServerChange.of(current, ServerChange.Kind.DRAINING));
             }
-            known.update(registration);
+            current.update(registration);
         }
-        if (newest && now >= keepMissingUntil) {
-            servers.values().removeIf(server -> {
-                if (seen.containsKey(server.id())) {
+        if (newest && requestedAtMillis >= keepMissingUntilMillis) {
+            instanceByServerId.values().removeIf(server -> {
+                if (listed.containsKey(server.id())) {
                     return false;
                 }
-                server.markGone();
-                changes.add(ServerChange.of(server, ServerChange.Kind.GONE));
+                server.markRemoved();
+                changes.add(ServerChange.of(server, ServerChange.Kind.REMOVED));
                 return true;
             });
         }
         if (!changes.isEmpty()) {
-            arrange();
+            indexByService();
         }
         return changes;
     }
 
     /** Notes that another incarnation answered at a server's address: this one has ended. */
-    public void replaced(ServerInstance server) {
-        server.markGone();
-        servers.remove(server.id(), server);
-        arrange();
+    public void removeReplaced(ServerInstance server) {
+        server.markRemoved();
+        instanceByServerId.remove(server.id(), server);
+        indexByService();
     }
 
     /** Notes that a peer has seen an equal list that was asked for at a time. */
-    public void confirmed(long askedAt) {
-        lastList = Math.max(lastList, askedAt);
+    public void confirmList(long requestedAtMillis) {
+        newestListMillis = Math.max(newestListMillis, requestedAtMillis);
     }
 
     /** Returns a number that is equal for equal lists, whatever their order. */
     public long digest() {
         long digest = 0;
-        for (ServerInstance server : servers.values()) {
-            digest += mix(server.life().hashCode() * 31L + (server.open() ? 1 : 0));
+        for (ServerInstance server : instanceByServerId.values()) {
+            digest += mixBits(server.instanceId().hashCode() * 31L + (server.available() ? 1 : 0));
         }
         return digest;
     }
 
-    private static long mix(long value) {
+    private static long mixBits(long value) {
         long mixed = (value ^ (value >>> 33)) * 0xff51afd7ed558ccdL;
         return mixed ^ (mixed >>> 33);
     }
 
     /** Returns the servers of a service that take new work, ordered by id. */
-    public List<ServerInstance> open(String service) {
-        return byService.getOrDefault(service, List.of()).stream()
-                .filter(ServerInstance::open)
+    public List<ServerInstance> available(String service) {
+        return instancesByService.getOrDefault(service, List.of()).stream()
+                .filter(ServerInstance::available)
                 .toList();
     }
 
     public Collection<ServerInstance> all() {
-        return servers.values();
+        return instanceByServerId.values();
     }
 
-    /** Returns the server of a life ({@link ServerRegistration#life()}), or null if that life isn't the present one. */
-    public ServerInstance server(String life) {
-        int mark = life.lastIndexOf('@');
-        ServerInstance server = servers.get(mark < 0 ? life : life.substring(0, mark));
-        return server != null && server.life().equals(life) ? server : null;
+    /** Returns the server of a life ({@link ServerRegistration#instanceId()}), or null if that life isn't the present one. */
+    public ServerInstance instance(String instanceId) {
+        int separator = instanceId.lastIndexOf('@');
+        ServerInstance server = instanceByServerId.get(separator < 0 ? instanceId : instanceId.substring(0, separator));
+        return server != null && server.instanceId().equals(instanceId) ? server : null;
     }
 
     /** Returns whether any list has been seen yet. */
-    public boolean known() {
-        return lastList != Long.MIN_VALUE;
+    public boolean hasList() {
+        return newestListMillis != Long.MIN_VALUE;
     }
 
     /** Returns the time of the newest list, in milliseconds. */
-    public long lastList() {
-        return lastList;
+    public long newestListMillis() {
+        return newestListMillis;
     }
 
-    private void arrange() {
-        byService.clear();
-        for (ServerInstance server : servers.values()) {
-            byService
+    private void indexByService() {
+        instancesByService.clear();
+        for (ServerInstance server : instanceByServerId.values()) {
+            instancesByService
                     .computeIfAbsent(server.service(), service -> new ArrayList<>())
                     .add(server);
         }
-        byService.values().forEach(list -> list.sort((a, b) -> a.id().compareTo(b.id())));
+        instancesByService.values().forEach(list -> list.sort((a, b) -> a.id().compareTo(b.id())));
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServerHealth.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerHealth.java
@@ -10,20 +10,20 @@
  */
 public final class ServerHealth {
     /** Failures in a row that eject: one is common for a sound server (a lost answer), three are not. */
-    private static final int ROW = 3;
+    private static final int MAX_CONSECUTIVE_FAILURES = 3;
     /** Failure rate that ejects: a sound service answers up to 14 in 100 with an error of its own. */
-    private static final double RATE = 0.5;
+    private static final double MAX_FAILURE_RATE = 0.5;
     /** Weight of the newest result in the failure rate: the last ten or so requests count. */
-    private static final double NEWEST = 0.12;
+    private static final double SMOOTHING = 0.12;
     /** First time out of rotation: about the time in which a restarting server is back or known to be gone. */
-    private static final long FIRST_EJECTION_MILLIS = 1_000;
+    private static final long INITIAL_EJECTION_MILLIS = 1_000;
     /** Longest time out of rotation: a server that is back should be found within seconds. */
-    private static final long LONGEST_EJECTION_MILLIS = 4_000;
+    private static final long MAX_EJECTION_MILLIS = 4_000;
 
-    private int failuresInARow;
+    private int consecutiveFailures;
     private double failureRate;
-    private long ejectedUntil = Long.MIN_VALUE;
-    private long ejection = FIRST_EJECTION_MILLIS;
+    private long ejectedUntilMillis = Long.MIN_VALUE;
+    private long ejectionMillis = INITIAL_EJECTION_MILLIS;
     private boolean probing;
 
     private ServerHealth() {}
@@ -33,54 +33,54 @@
     }
 
     /** Returns whether ordinary work may be sent at a time, in milliseconds. */
-    public boolean usable(long now) {
-        return now >= ejectedUntil && !probing;
+    public boolean usable(long nowMillis) {
+        return nowMillis >= ejectedUntilMillis && !probing;
     }
 
     /** Returns whether the time out of rotation is over, and a single request may try the server. */
-    public boolean probeDue(long now) {
-        return ejectedUntil != Long.MIN_VALUE && now >= ejectedUntil && probing;
+    public boolean probeDue(long nowMillis) {
+        return ejectedUntilMillis != Long.MIN_VALUE && nowMillis >= ejectedUntilMillis && probing;
     }
 
     /** Notes that a single request tries the server; the next try is due after another ejection time. */
-    public void probeSent(long now) {
-        ejectedUntil = now + ejection;
+    public void recordProbe(long nowMillis) {
+        ejectedUntilMillis = nowMillis + ejectionMillis;
     }
 
     /** Notes an answer of the server, whatever its status was, that shows that it works. */
-    public void succeeded() {
-        failuresInARow = 0;
-        failureRate *= 1 - NEWEST;
+    public void recordSuccess() {
+        consecutiveFailures = 0;
+        failureRate *= 1 - SMOOTHING;
         if (probing) {
             probing = false;
-            ejectedUntil = Long.MIN_VALUE;
+            ejectedUntilMillis = Long.MIN_VALUE;
             failureRate = 0;
         }
-        ejection = FIRST_EJECTION_MILLIS;
+        ejectionMillis = INITIAL_EJECTION_MILLIS;
     }
 
     /** Notes a request that the server failed: an error of its own, a broken or missing answer. */
-    public void failed(long now) {
-        failuresInARow++;
-        failureRate = failureRate * (1 - NEWEST) + NEWEST;
-        if (failuresInARow >= ROW || failureRate >= RATE || probing) {
-            eject(now);
+    public void recordFailure(long nowMillis) {
+        consecutiveFailures++;
+        failureRate = failureRate * (1 - SMOOTHING) + SMOOTHING;
+        if (consecutiveFailures >= MAX_CONSECUTIVE_FAILURES || failureRate >= MAX_FAILURE_RATE || probing) {
+            eject(nowMillis);
         }
     }
 
     /** Notes that no connection could be made, or that the server fell silent: it is out at once. */
-    public void unreachable(long now) {
-        failuresInARow++;
-        eject(now);
+    public void recordUnreachable(long nowMillis) {
+        consecutiveFailures++;
+        eject(nowMillis);
     }
 
-    private void eject(long now) {
-        if (now < ejectedUntil && !probing) {
+    private void eject(long nowMillis) {
+        if (nowMillis < ejectedUntilMillis && !probing) {
             return;
         }
-        ejectedUntil = now + ejection;
-        ejection = Math.min(LONGEST_EJECTION_MILLIS, ejection * 2);
+        ejectedUntilMillis = nowMillis + ejectionMillis;
+        ejectionMillis = Math.min(MAX_EJECTION_MILLIS, ejectionMillis * 2);
         probing = true;
-        failuresInARow = 0;
+        consecutiveFailures = 0;
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServerInstance.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerInstance.java
@@ -8,19 +8,19 @@
  */
 public final class ServerInstance {
     private ServerRegistration registration;
-    private final String life;
-    private boolean gone;
-    private int running;
-    private long promptTokens;
-    private int peersRunning;
-    private long peersPromptTokens;
-    private int streaming;
-    private long lastHeard = Long.MIN_VALUE;
+    private final String instanceId;
+    private boolean removed;
+    private int inFlight;
+    private long pendingPrefillTokens;
+    private int peerInFlight;
+    private long peerPendingPrefillTokens;
+    private int activeStreams;
+    private long lastReceivedMillis = Long.MIN_VALUE;
     private final ServerHealth health = ServerHealth.create();
 
     private ServerInstance(ServerRegistration registration) {
         this.registration = registration;
-        this.life = registration.life();
+        this.instanceId = registration.instanceId();
     }
 
     /** Returns a server that has just been seen for the first time. */
@@ -33,8 +33,8 @@
     }
 
     /** Returns the name of this life of the server, under which everything that is believed of it is kept. */
-    public String life() {
-        return life;
+    public String instanceId() {
+        return instanceId;
     }
 
     public String service() {
@@ -54,12 +54,12 @@
     }
 
     /** Returns whether new work may be sent to it. */
-    public boolean open() {
-        return !gone && !registration.draining();
+    public boolean available() {
+        return !removed && !registration.draining();
     }
 
-    public boolean gone() {
-        return gone;
+    public boolean removed() {
+        return removed;
     }
 
     public ServerRegistration registration() {
@@ -68,77 +68,83 @@
 
     /** Takes a newer registration; a server that has said that it leaves stays so. */
     void update(ServerRegistration newer) {
-        boolean leaving = registration.draining() || newer.draining();
+        boolean draining = registration.draining() || newer.draining();
         registration = new ServerRegistration(
-                newer.id(), newer.born(), newer.service(), newer.address(), newer.domain(), newer.slots(), leaving);
+                newer.id(),
+                newer.startedAtMillis(),
+                newer.service(),
+                newer.address(),
+                newer.domain(),
+                newer.slots(),
+                draining);
     }
 
     /** Notes that the incarnation has ended. */
-    public void markGone() {
-        gone = true;
+    public void markRemoved() {
+        removed = true;
     }
 
     /** Returns the requests that this node has running there. */
-    public int running() {
-        return running;
+    public int inFlight() {
+        return inFlight;
     }
 
     /** Returns the requests running there of all nodes, as far as they are known here. */
-    public int runningOfAll() {
-        return running + peersRunning;
+    public int totalInFlight() {
+        return inFlight + peerInFlight;
     }
 
     /** Returns the prompt tokens of all nodes that it was sent and has not yet read, as far as they are known here. */
-    public long promptTokensOfAll() {
-        return promptTokens + peersPromptTokens;
+    public long totalPendingPrefillTokens() {
+        return pendingPrefillTokens + peerPendingPrefillTokens;
     }
 
     /** Returns the prompt tokens that this node sent and that have not yet been read. */
-    public long promptTokens() {
-        return promptTokens;
+    public long pendingPrefillTokens() {
+        return pendingPrefillTokens;
     }
 
     /** Takes what the other nodes tell of their requests there. */
-    public void peers(int requests, long tokens) {
-        peersRunning = requests;
-        peersPromptTokens = tokens;
+    public void updatePeerLoad(int requests, long tokens) {
+        peerInFlight = requests;
+        peerPendingPrefillTokens = tokens;
     }
 
     /** Takes a change of what the other nodes tell of their requests there. */
-    public void peersChanged(int requests, long tokens) {
-        peersRunning = Math.max(0, peersRunning + requests);
-        peersPromptTokens = Math.max(0, peersPromptTokens + tokens);
+    public void adjustPeerLoad(int requests, long tokens) {
+        peerInFlight = Math.max(0, peerInFlight + requests);
+        peerPendingPrefillTokens = Math.max(0, peerPendingPrefillTokens + tokens);
     }
 
     /** Takes what the server itself tells: requests that it runs and that wait there, of all nodes. */
-    public void told(int runs, int waits) {
-        peersRunning = Math.max(0, runs + waits - running);
+    public void updateReportedLoad(int running, int waiting) {
+        peerInFlight = Math.max(0, running + waiting - inFlight);
     }
 
     /** Notes that a request was sent, with the prompt tokens that the server has to read for it. */
-    public void sent(int tokens) {
-        running++;
-        promptTokens += tokens;
+    public void recordSent(int tokens) {
+        inFlight++;
+        pendingPrefillTokens += tokens;
     }
 
     /** Notes that the prompt of a request has been read, since its first output came. */
-    public void read(int tokens) {
-        promptTokens -= tokens;
+    public void recordPrefill(int tokens) {
+        pendingPrefillTokens -= tokens;
     }
 
     /** Notes that a stream has begun to bring events. */
-    public void streamBegan() {
-        streaming++;
+    public void recordStreamStart() {
+        activeStreams++;
     }
 
     /** Notes that a stream that had begun has ended. */
-    public void streamEnded() {
-        streaming--;
+    public void recordStreamEnd() {
+        activeStreams--;
     }
 
     /** Notes that the server sent anything at all, at a time in milliseconds. */
-    public void heard(long now) {
-        lastHeard = now;
+    public void recordReceived(long nowMillis) {
+        lastReceivedMillis = nowMillis;
     }
 
     /**
@@ -147,13 +153,13 @@
      * <p>Answers servers that lose power or whose links go dark: nothing is reset then, and requests go on being sent
      * there until they time out.
      */
-    public long silentFor(long now) {
-        return streaming > 0 ? now - lastHeard : 0;
+    public long silenceMillis(long nowMillis) {
+        return activeStreams > 0 ? nowMillis - lastReceivedMillis : 0;
     }
 
     /** Notes that a request has ended, whichever way. */
-    public void ended() {
-        running--;
+    public void recordEnd() {
+        inFlight--;
     }
 
     public ServerHealth health() {
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServerRegistration.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerRegistration.java
@@ -11,12 +11,18 @@
  * @param draining whether it has said that it leaves
  */
 public record ServerRegistration(
-        String id, long born, String service, InetSocketAddress address, String domain, int slots, boolean draining) {
+        String id,
+        long startedAtMillis,
+        String service,
+        InetSocketAddress address,
+        String domain,
+        int slots,
+        boolean draining) {
     /**
      * Returns the name of this life of the server. Two lives under one id have nothing in common but the id: the second one
      * holds no prompts and runs nothing that the first was sent, so whatever is believed of a server is kept under this name.
      */
-    public String life() {
-        return born == 0 ? id : id + "@" + born;
+    public String instanceId() {
+        return startedAtMillis == 0 ? id : id + "@" + startedAtMillis;
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServiceConfig.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServiceConfig.java
@@ -10,21 +10,26 @@
  * @param linkBitsPerMilli speed of an engine's link to other engines, in bits a millisecond; 0 if not told
  */
 public record ServiceConfig(
-        String name, int maxConnections, int slots, long memoryTokens, long tokenBytes, double linkBitsPerMilli) {
+        String name,
+        int maxConnections,
+        int slots,
+        long cacheCapacityTokens,
+        long bytesPerToken,
+        double linkBitsPerMilli) {
     /** Returns terms of a service whose engines' links aren't told. */
-    public static ServiceConfig of(String name, int maxConnections, int slots, long memoryTokens) {
-        return new ServiceConfig(name, maxConnections, slots, memoryTokens, 0, 0);
+    public static ServiceConfig of(String name, int maxConnections, int slots, long cacheCapacityTokens) {
+        return new ServiceConfig(name, maxConnections, slots, cacheCapacityTokens, 0, 0);
     }
 
     /** Returns the time that one engine takes to fetch tokens from another, in milliseconds; infinite if links aren't told. */
     public double fetchMillis(int tokens) {
-        return tokenBytes <= 0 || linkBitsPerMilli <= 0
+        return bytesPerToken <= 0 || linkBitsPerMilli <= 0
                 ? Double.POSITIVE_INFINITY
-                : tokens * 8.0 * tokenBytes / linkBitsPerMilli;
+                : tokens * 8.0 * bytesPerToken / linkBitsPerMilli;
     }
 
     /** Returns whether the service's backend servers are model engines. */
-    public boolean engines() {
+    public boolean hasModelEngines() {
         return slots > 0;
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/AdmissionControlTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/AdmissionControlTest.java
@@ -53,13 +53,13 @@
     void whatCantBeInTimeIsTurnedAway(double wait, long left, boolean expected) {
         assertEquals(
                 expected,
-                AdmissionControl.turnedAway(route("r", 1_200, 2), wait, left, 0.5)
+                AdmissionControl.retryAfterMillis(route("r", 1_200, 2), wait, left, 0.5)
                         .isPresent());
     }
 
     @Test
     void aRouteWithoutATargetTurnsNobodyAway() {
-        assertEquals(OptionalLong.empty(), AdmissionControl.turnedAway(route("r", 0, 2), 60_000, 8_000, 0.5));
+        assertEquals(OptionalLong.empty(), AdmissionControl.retryAfterMillis(route("r", 0, 2), 60_000, 8_000, 0.5));
     }
 
     /** Load: a burst is turned away in one moment; were all told the same time, they would be the next burst. */
@@ -67,8 +67,8 @@
     @CsvSource({"1000, 8000", "3000, 8000", "20000, 8000", "20000, 900", "20000, 1"})
     void callersComeBackSpreadWhenThereMayBeRoomAndWithinAThirdOfTheirTime(double wait, long left) {
         Route route = route("r", 1_200, 2);
-        long first = AdmissionControl.turnedAway(route, wait, left, 0).orElseThrow();
-        long last = AdmissionControl.turnedAway(route, wait, left, 1).orElseThrow();
+        long first = AdmissionControl.retryAfterMillis(route, wait, left, 0).orElseThrow();
+        long last = AdmissionControl.retryAfterMillis(route, wait, left, 1).orElseThrow();
         assertTrue(first >= Math.min(300, Math.max(1, left / 3)), "first " + first);
         assertTrue(last <= Math.max(1, left / 3), "last " + last);
         assertTrue(last > first || last >= left / 3, first + " to " + last);
@@ -83,17 +83,17 @@
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerInstance engine = ServerInstance.of(
                 new ServerRegistration("a", 0, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, false));
-        engine.peers(3, 100_000);
+        engine.updatePeerLoad(3, 100_000);
         Prompt prompt = Prompt.of(9_000, 80, List.of(new PromptPart("own", 9_000)));
         PlacementRequest request =
                 new PlacementRequest(route("r", 600, 1), ServiceConfig.of("model", 300, 48, 300_000), prompt, "north");
         PlacementPolicy.Decision first =
                 placement.place(request, List.of(engine), 0).orElseThrow();
-        assertEquals(0, first.waitMillis());
+        assertEquals(0, first.expectedWaitMillis());
         for (int i = 0; i < 5; i++) {
-            placement.read(request, first, 200);
+            placement.recordPrefill(request, first, 200);
         }
-        assertTrue(placement.place(request, List.of(engine), 0).orElseThrow().waitMillis() > 1_000);
+        assertTrue(placement.place(request, List.of(engine), 0).orElseThrow().expectedWaitMillis() > 1_000);
     }
 
     @ParameterizedTest
@@ -116,6 +116,6 @@
         RelayConfig config = RelayConfig.of(
                 1, routes, List.of(ServiceConfig.of("model", 300, 48, 300_000)), workspaces, CallerLimits.DEFAULT);
         Optional<WorkspaceConfig> workspace = ofWorkspace < 0 ? Optional.empty() : config.workspace("k" + ofWorkspace);
-        assertEquals(expected, config.leastUrgent(workspace, routes.get(ofRoute), "model"));
+        assertEquals(expected, config.isLeastUrgent(workspace, routes.get(ofRoute), "model"));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/LanePlacementTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/LanePlacementTest.java
@@ -32,17 +32,17 @@
     void shortPromptsGetAsFewEnginesAsHoldThem(int engines, int running, double shorts, double longs, int expected) {
         assertEquals(
                 expected,
-                LaneSizing.shortEngines(engines, 48, new LaneDemand(running, shorts, longs), 42.8, 0.35, false));
+                LaneSizing.shortLaneSize(engines, 48, new LaneDemand(running, shorts, longs), 42.8, 0.35, false));
     }
 
     /** Load: short prompts that arrive by chance beside streams; the quicker each is read, the more may be read in all. */
     @Test
     void quickerReadingAndLongerPausesLeaveMoreOfAnEnginesTimeForReading() {
-        double slow = LaneSizing.shortReading(120, 19.3);
-        double quick = LaneSizing.shortReading(150, 11.8);
+        double slow = LaneSizing.shortPrefillShare(120, 19.3);
+        double quick = LaneSizing.shortPrefillShare(150, 11.8);
         assertEquals(0.45, slow, 0.01);
         assertEquals(0.54, quick, 0.01);
-        assertTrue(LaneSizing.shortReading(120, 1) < 0.85);
+        assertTrue(LaneSizing.shortPrefillShare(120, 1) < 0.85);
     }
 
     private static Prompt prompt(int tokens, String shared) {
@@ -68,13 +68,14 @@
             boolean isLong = i % 3 == 0;
             PlacementRequest request = new PlacementRequest(
                     route(RouteKind.STREAM, true, 2), ENGINES, prompt(isLong ? 9_000 : 800, "p" + i % 9), "north");
-            PlacementPolicy.Decision placed =
-                    placement.place(request, directory.open("model"), i * 10L).orElseThrow();
-            placed.server().sent(placed.tokensToRead());
-            placement.sent(request, placed, i * 10L);
-            placed.server().read(placed.tokensToRead());
-            placed.server().ended();
-            placement.ended(request, placed, i * 10L);
+            PlacementPolicy.Decision placed = placement
+                    .place(request, directory.available("model"), i * 10L)
+                    .orElseThrow();
+            placed.server().recordSent(placed.tokensToPrefill());
+            placement.recordSent(request, placed, i * 10L);
+            placed.server().recordPrefill(placed.tokensToPrefill());
+            placed.server().recordEnd();
+            placement.recordEnd(request, placed, i * 10L);
             if (i > 30) {
                 (isLong ? longs : shorts).merge(placed.server().id(), 1, Integer::sum);
             }
@@ -97,15 +98,15 @@
         PlacementRequest request =
                 new PlacementRequest(route(RouteKind.STREAM, true, 2), ENGINES, prompt(2_600, "p"), "north");
         PlacementPolicy.Decision placed =
-                placement.place(request, directory.open("model"), 0).orElseThrow();
-        placement.sent(request, placed, 0);
+                placement.place(request, directory.available("model"), 0).orElseThrow();
+        placement.recordSent(request, placed, 0);
         PlacementRequest large =
                 new PlacementRequest(route(RouteKind.STREAM, true, 2), ENGINES, prompt(18_000, "q"), "north");
         for (int i = 0; i < 20; i++) {
-            placement.read(large, placed, 90);
+            placement.recordPrefill(large, placed, 90);
         }
-        placement.ended(request, placed, 10);
-        assertEquals(0, placement.demands(10).get("model").shortRunning());
+        placement.recordEnd(request, placed, 10);
+        assertEquals(0, placement.localDemands(10).get("model").shortInFlight());
     }
 
     /**
@@ -118,15 +119,15 @@
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false)), 0);
-        placement.tightestPause(200);
+        placement.updateMinEventGap(200);
         for (int i = 0; i < 40; i++) {
             Prompt prompt = Prompt.of(
                     17_000, 80, List.of(new PromptPart("shared" + i, 13_300), new PromptPart("own" + i, 3_700)));
             PlacementRequest request = new PlacementRequest(route(RouteKind.STREAM, true, 2), ENGINES, prompt, "north");
             PlacementPolicy.Decision placed =
-                    placement.place(request, directory.open("model"), 0).orElseThrow();
+                    placement.place(request, directory.available("model"), 0).orElseThrow();
             assertTrue(placed.longPrompt(), "prompt " + i);
-            placement.read(request, placed, 50);
+            placement.recordPrefill(request, placed, 50);
         }
     }
 
@@ -144,23 +145,24 @@
                 new PlacementRequest(route(RouteKind.STREAM, true, 2), ENGINES, prompt(9_000, "p"), "north");
         PlacementRequest shorts =
                 new PlacementRequest(route(RouteKind.STREAM, false, 1), ENGINES, prompt(800, "q"), "north");
-        placement.sent(longs, placement.place(longs, directory.open("model"), 0).orElseThrow(), 0);
+        placement.recordSent(
+                longs, placement.place(longs, directory.available("model"), 0).orElseThrow(), 0);
         ServerInstance first = placement
-                .place(shorts, directory.open("model"), 1)
+                .place(shorts, directory.available("model"), 1)
                 .orElseThrow()
                 .server();
         assertEquals(
                 first.id(),
                 placement
-                        .place(shorts, directory.open("model"), 2)
+                        .place(shorts, directory.available("model"), 2)
                         .orElseThrow()
                         .server()
                         .id());
-        first.peers(48, 0);
+        first.updatePeerLoad(48, 0);
         assertNotEquals(
                 first.id(),
                 placement
-                        .place(shorts, directory.open("model"), 3)
+                        .place(shorts, directory.available("model"), 3)
                         .orElseThrow()
                         .server()
                         .id());
@@ -182,20 +184,21 @@
         directory.apply(List.of(registration("a", false), registration("b", false), registration("c", false)), 0);
         PlacementRequest longs = new PlacementRequest(ranked(1), ENGINES, prompt(9_000, "p"), "north");
         PlacementRequest shorts = new PlacementRequest(ranked(0), ENGINES, prompt(800, "q"), "north");
-        placement.sent(longs, placement.place(longs, directory.open("model"), 0).orElseThrow(), 0);
+        placement.recordSent(
+                longs, placement.place(longs, directory.available("model"), 0).orElseThrow(), 0);
         ServerInstance shortLane = placement
-                .place(shorts, directory.open("model"), 1)
+                .place(shorts, directory.available("model"), 1)
                 .orElseThrow()
                 .server();
-        shortLane.peers(inFullLane, 9_000);
-        for (ServerInstance other : directory.open("model")) {
+        shortLane.updatePeerLoad(inFullLane, 9_000);
+        for (ServerInstance other : directory.available("model")) {
             if (other != shortLane) {
-                other.peers(elsewhere, reading);
+                other.updatePeerLoad(elsewhere, reading);
             }
         }
         for (int i = 0; i < 6; i++) {
             ServerInstance chosen = placement
-                    .place(shorts, directory.open("model"), 2 + i)
+                    .place(shorts, directory.available("model"), 2 + i)
                     .orElseThrow()
                     .server();
             assertNotEquals(shortLane.id(), chosen.id());
@@ -216,17 +219,19 @@
         PlacementRequest longs = new PlacementRequest(ranked(longRank), ENGINES, prompt(9_000, "p"), "north");
         PlacementRequest shorts = new PlacementRequest(ranked(1), ENGINES, prompt(800, "q"), "north");
         PlacementPolicy.Decision first =
-                placement.place(longs, directory.open("model"), 0).orElseThrow();
-        placement.sent(longs, first, 0);
+                placement.place(longs, directory.available("model"), 0).orElseThrow();
+        placement.recordSent(longs, first, 0);
         PlacementPolicy.Decision second =
-                placement.place(shorts, directory.open("model"), 1).orElseThrow();
-        placement.sent(shorts, second, 1);
-        ServerInstance longLane =
-                placement.place(longs, directory.open("model"), 2).orElseThrow().server();
-        longLane.peers(60, 0);
+                placement.place(shorts, directory.available("model"), 1).orElseThrow();
+        placement.recordSent(shorts, second, 1);
+        ServerInstance longLane = placement
+                .place(longs, directory.available("model"), 2)
+                .orElseThrow()
+                .server();
+        longLane.updatePeerLoad(60, 0);
         PlacementRequest another = new PlacementRequest(ranked(longRank), ENGINES, prompt(9_000, "r"), "north");
         ServerInstance now = placement
-                .place(another, directory.open("model"), 3)
+                .place(another, directory.available("model"), 3)
                 .orElseThrow()
                 .server();
         assertEquals(leaves, now != longLane);
@@ -245,15 +250,15 @@
         PlacementRequest request =
                 new PlacementRequest(route(RouteKind.STREAM, true, 2), ENGINES, prompt(9_000, "p"), "north");
         PlacementPolicy.Decision first =
-                placement.place(request, directory.open("model"), 0).orElseThrow();
-        placement.sent(request, first, 0);
+                placement.place(request, directory.available("model"), 0).orElseThrow();
+        placement.recordSent(request, first, 0);
         PlacementPolicy.Decision second =
-                placement.place(request, directory.open("model"), 10).orElseThrow();
+                placement.place(request, directory.available("model"), 10).orElseThrow();
         assertEquals(first.server().id(), second.server().id());
-        assertTrue(second.tokensToRead() < first.tokensToRead());
-        first.server().peers(0, 50_000);
+        assertTrue(second.tokensToPrefill() < first.tokensToPrefill());
+        first.server().updatePeerLoad(0, 50_000);
         PlacementPolicy.Decision third =
-                placement.place(request, directory.open("model"), 20).orElseThrow();
+                placement.place(request, directory.available("model"), 20).orElseThrow();
         assertNotEquals(first.server().id(), third.server().id());
     }
 
@@ -262,11 +267,11 @@
         PrefixCacheTracker memory = PrefixCacheTracker.create();
         Prompt old = Prompt.of(600, 1, List.of(new PromptPart("a", 600)));
         Prompt young = Prompt.of(500, 1, List.of(new PromptPart("b", 500)));
-        memory.keep("e", old.parts(), 1_000, 0);
-        assertEquals(600, memory.held("e", old));
-        memory.keep("e", young.parts(), 1_000, 0);
-        assertEquals(0, memory.held("e", old));
-        assertEquals(500, memory.held("e", young));
-        assertEquals(0, memory.held("other", young));
+        memory.recordPrefill("e", old.parts(), 1_000, 0);
+        assertEquals(600, memory.cachedTokens("e", old));
+        memory.recordPrefill("e", young.parts(), 1_000, 0);
+        assertEquals(0, memory.cachedTokens("e", old));
+        assertEquals(500, memory.cachedTokens("e", young));
+        assertEquals(0, memory.cachedTokens("other", young));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/PeerTableTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PeerTableTest.java
@@ -31,14 +31,14 @@
     @Test
     void theLeastNameThatTheStoreAnswersReadsForAll() {
         PeerTable table = PeerTable.of("b");
-        assertTrue(table.reads(true, 0), "alone");
-        table.hear(report("a", 1, 1, true), 0);
-        assertFalse(table.reads(true, 100));
-        assertTrue(table.reads(true, 5_000), "the other has fallen silent");
-        table.hear(report("a", 1, 2, false), 5_000);
-        assertTrue(table.reads(true, 5_100), "the store turns the other away");
-        table.hear(report("c", 1, 1, true), 5_000);
-        assertFalse(table.reads(false, 5_100), "the store turns this one away");
+        assertTrue(table.isStoreReader(true, 0), "alone");
+        table.accept(report("a", 1, 1, true), 0);
+        assertFalse(table.isStoreReader(true, 100));
+        assertTrue(table.isStoreReader(true, 5_000), "the other has fallen silent");
+        table.accept(report("a", 1, 2, false), 5_000);
+        assertTrue(table.isStoreReader(true, 5_100), "the store turns the other away");
+        table.accept(report("c", 1, 1, true), 5_000);
+        assertFalse(table.isStoreReader(false, 5_100), "the store turns this one away");
     }
 
     /**
@@ -48,20 +48,20 @@
     @Test
     void aPeerThatReportsSeldomIsAwayLater() {
         PeerTable table = PeerTable.of("b");
-        table.hear(report("a", 1, 1, true, 650), 0);
-        assertFalse(table.reads(true, 1_500));
-        assertTrue(table.reads(true, 1_700));
+        table.accept(report("a", 1, 1, true, 650), 0);
+        assertFalse(table.isStoreReader(true, 1_500));
+        assertTrue(table.isStoreReader(true, 1_700));
     }
 
     @Test
     void reportsThatWereOvertakenChangeNothing() {
         PeerTable table = PeerTable.of("b");
-        assertTrue(table.hear(report("a", 1, 5, true), 0));
-        assertFalse(table.hear(report("a", 1, 4, false), 1));
-        assertTrue(table.hear(report("a", 2, 1, true), 2), "its process has started again");
-        assertFalse(table.hear(report("b", 9, 9, true), 3), "its own");
-        assertEquals(2, table.uses(10).get("a").running());
-        assertTrue(table.uses(5_000).isEmpty(), "old reports say nothing of now");
+        assertTrue(table.accept(report("a", 1, 5, true), 0));
+        assertFalse(table.accept(report("a", 1, 4, false), 1));
+        assertTrue(table.accept(report("a", 2, 1, true), 2), "its process has started again");
+        assertFalse(table.accept(report("b", 9, 9, true), 3), "its own");
+        assertEquals(2, table.loads(10).get("a").inFlight());
+        assertTrue(table.loads(5_000).isEmpty(), "old reports say nothing of now");
     }
 
     /**
@@ -72,9 +72,9 @@
     @Test
     void aPeerThatStartedAgainIsHeardWhateverItsClockSaid() {
         PeerTable table = PeerTable.of("b");
-        table.hear(report("a", 9_000, 70, true), 0);
-        assertTrue(table.hear(report("a", 4_000, 1, true), 100));
-        assertFalse(table.hear(report("a", 9_000, 71, true), 110), "a late report of the process that has ended");
-        assertTrue(table.hear(report("a", 4_000, 2, true), 120));
+        table.accept(report("a", 9_000, 70, true), 0);
+        assertTrue(table.accept(report("a", 4_000, 1, true), 100));
+        assertFalse(table.accept(report("a", 9_000, 71, true), 110), "a late report of the process that has ended");
+        assertTrue(table.accept(report("a", 4_000, 2, true), 120));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/PrefixAffinityTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PrefixAffinityTest.java
@@ -44,7 +44,7 @@
     private static ServerInstance first(Prompt prompt, List<ServerInstance> engines) {
         PrefixAffinity homes = PrefixAffinity.of(prompt, engines);
         return engines.stream()
-                .filter(engine -> homes.rank(engine) == 0)
+                .filter(engine -> homes.position(engine) == 0)
                 .findFirst()
                 .orElseThrow();
     }
@@ -110,7 +110,7 @@
             List<ServerInstance> others =
                     all.stream().filter(engine -> engine != first).toList();
             ServerInstance next = first(prompt(thing, 0), others);
-            assertEquals(1, homes.rank(next));
+            assertEquals(1, homes.position(next));
         }
     }
 
@@ -118,7 +118,7 @@
     void aHomeWithTooMuchToReadIsPassedOver() {
         List<ServerInstance> engines = engines(4);
         ServerInstance home = first(prompt(7, 0), engines);
-        home.sent(200_000);
+        home.recordSent(200_000);
         assertNotEquals(
                 home,
                 PromptAwarePlacement.create()
@@ -131,6 +131,6 @@
     void aPromptThatSharesNothingHasNoHome() {
         List<ServerInstance> engines = engines(3);
         PrefixAffinity homes = PrefixAffinity.of(Prompt.of(100, 10, List.of(new PromptPart("own", 100))), engines);
-        assertTrue(engines.stream().allMatch(engine -> homes.rank(engine) < 0));
+        assertTrue(engines.stream().allMatch(engine -> homes.position(engine) < 0));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/PrefixPlacementTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PrefixPlacementTest.java
@@ -72,13 +72,13 @@
         Set<ServerInstance> readers = new HashSet<>();
         for (int i = 0; i < 200; i++) {
             for (int k = 0; k < engines.size(); k++) {
-                engines.get(k).peers(10, (i * 7_919L + k * 104_729L) % 400_000);
+                engines.get(k).updatePeerLoad(10, (i * 7_919L + k * 104_729L) % 400_000);
             }
             PlacementRequest request = request(LINKED, 1, i);
             PlacementPolicy.Decision placed =
                     placement.place(request, engines, i * 20L).orElseThrow();
             readers.add(placed.server());
-            placement.sent(request, placed, i * 20L);
+            placement.recordSent(request, placed, i * 20L);
         }
         return readers.size();
     }
@@ -93,14 +93,14 @@
         List<ServerInstance> engines = engines(10);
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         for (ServerInstance engine : engines) {
-            placement.kept(engine, LINKED, List.of(new PromptPart("all", 2_000)), 0);
+            placement.recordPeerPrefill(engine, LINKED, List.of(new PromptPart("all", 2_000)), 0);
         }
         for (int thing = 0; thing < 20; thing++) {
             PlacementRequest request = request(LINKED, thing, thing);
             PrefixAffinity homes = PrefixAffinity.of(request.prompt(), engines);
             ServerInstance chosen =
                     placement.place(request, engines, 10).orElseThrow().server();
-            assertEquals(0, homes.rank(chosen), "prompt " + thing);
+            assertEquals(0, homes.position(chosen), "prompt " + thing);
         }
     }
 
@@ -110,8 +110,9 @@
             List<ServerInstance> candidates,
             ServerInstance holder,
             long now) {
-        placement.kept(holder, service, request(service, 1, 1).prompt().sharedParts(), 0);
-        holder.peers(10, 500_000);
+        placement.recordPeerPrefill(
+                holder, service, request(service, 1, 1).prompt().sharedParts(), 0);
+        holder.updatePeerLoad(10, 500_000);
         PlacementPolicy.Decision placed =
                 placement.place(request(service, 1, 2), candidates, now).orElseThrow();
         assertNotEquals(holder, placed.server());
@@ -124,7 +125,7 @@
         PlacementPolicy.PrefixFetch fetch = fetched(
                         PromptAwarePlacement.create(), LINKED, engines, engines.get(2), READ)
                 .orElseThrow();
-        assertEquals(engines.get(2), fetch.from());
+        assertEquals(engines.get(2), fetch.source());
         assertEquals(13_300, fetch.tokens());
     }
 
@@ -135,7 +136,8 @@
     void whatTheChosenEngineHoldsItselfIsNotFetched() {
         List<ServerInstance> engines = engines(6);
         PromptAwarePlacement placement = PromptAwarePlacement.create();
-        engines.forEach(engine -> placement.kept(engine, LINKED, List.of(new PromptPart("all", 2_000)), 0));
+        engines.forEach(
+                engine -> placement.recordPeerPrefill(engine, LINKED, List.of(new PromptPart("all", 2_000)), 0));
         PlacementPolicy.PrefixFetch fetch =
                 fetched(placement, LINKED, engines, engines.get(2), READ).orElseThrow();
         assertEquals(11_300, fetch.tokens());
@@ -181,8 +183,9 @@
         List<ServerInstance> engines = engines(6);
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerInstance holder = engines.get(2);
-        placement.kept(holder, LINKED, request(LINKED, 1, 1).prompt().sharedParts(), 0);
-        placement.forget(holder.life());
+        placement.recordPeerPrefill(
+                holder, LINKED, request(LINKED, 1, 1).prompt().sharedParts(), 0);
+        placement.forgetInstance(holder.instanceId());
         PlacementPolicy.Decision placed =
                 placement.place(request(LINKED, 1, 2), engines, READ).orElseThrow();
         assertEquals(Optional.empty(), placed.fetch());
@@ -200,8 +203,9 @@
 
     private static ServerInstance chosen(PromptAwarePlacement placement, List<ServerInstance> engines, int thing) {
         ServerInstance holder = engines.get(thing % engines.size());
-        placement.kept(holder, LINKED, request(LINKED, thing, 1).prompt().sharedParts(), 0);
-        holder.peers(3, thing * 10_000L);
+        placement.recordPeerPrefill(
+                holder, LINKED, request(LINKED, thing, 1).prompt().sharedParts(), 0);
+        holder.updatePeerLoad(3, thing * 10_000L);
         return placement
                 .place(request(LINKED, thing, 2), engines, READ)
                 .orElseThrow()
@@ -219,6 +223,6 @@
     void inAShortageTheMoreUrgentShortPromptsGetWhatTheyNeed(
             double shorts, double longs, boolean shortFirst, int expected) {
         assertEquals(
-                expected, LaneSizing.shortEngines(20, 48, new LaneDemand(10, shorts, longs), 42.8, 0.35, shortFirst));
+                expected, LaneSizing.shortLaneSize(20, 48, new LaneDemand(10, shorts, longs), 42.8, 0.35, shortFirst));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/PriorityOrderTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PriorityOrderTest.java
@@ -26,15 +26,15 @@
         RankGate gate = RankGate.create();
         RankGate.PendingRequest first = RankGate.PendingRequest.of("e", 0, 300);
         RankGate.PendingRequest second = RankGate.PendingRequest.of("e", 0, 400);
-        gate.sent(first);
-        gate.sent(second);
-        assertFalse(gate.yields(1, "e", 250), "nobody is overdue");
-        assertFalse(gate.yields(1, "e", 350), "one may be a lost answer");
-        assertTrue(gate.yields(1, "e", 500));
-        assertFalse(gate.yields(0, "e", 500), "the most urgent never yield");
-        assertFalse(gate.yields(1, "other", 500));
-        gate.settled(second);
-        assertFalse(gate.yields(1, "e", 600), "the shortage is over");
+        gate.recordSent(first);
+        gate.recordSent(second);
+        assertFalse(gate.mustYield(1, "e", 250), "nobody is overdue");
+        assertFalse(gate.mustYield(1, "e", 350), "one may be a lost answer");
+        assertTrue(gate.mustYield(1, "e", 500));
+        assertFalse(gate.mustYield(0, "e", 500), "the most urgent never yield");
+        assertFalse(gate.mustYield(1, "other", 500));
+        gate.recordSettled(second);
+        assertFalse(gate.mustYield(1, "e", 600), "the shortage is over");
     }
     /**
      * Load: a burst of prompts whose reading takes from a hundredth of the target to half of it. Symptom: all of them were
@@ -106,8 +106,8 @@
                 for (int rank : new int[] {0, 1, 2, 5, 9, 12}) {
                     Optional<WorkspaceConfig> workspace = config.workspace("key" + rank);
                     for (int step = 0; step < PrefillOrder.STEPS; step++) {
-                        most = Math.max(most, config.level(workspace, kind(kind), "model", step));
-                        least = Math.min(least, config.level(workspace, kind(kind + 1), "model", step));
+                        most = Math.max(most, config.priorityLevel(workspace, kind(kind), "model", step));
+                        least = Math.min(least, config.priorityLevel(workspace, kind(kind + 1), "model", step));
                     }
                 }
             }
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerAnnouncementsTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerAnnouncementsTest.java
@@ -13,50 +13,52 @@
 
     @Test
     void aServerThatSaysThatItLeavesDoesSoForTheLifeThatSaidIt() {
-        assertTrue(words.leaves("e@1", 1_000));
-        assertFalse(words.leaves("e@1", 2_000), "known");
-        assertTrue(words.leaving("e@1", 60_000));
-        assertFalse(words.leaving("e@2", 60_000), "born again, it is another one");
+        assertTrue(words.recordLeaving("e@1", 1_000));
+        assertFalse(words.recordLeaving("e@1", 2_000), "known");
+        assertTrue(words.isLeaving("e@1", 60_000));
+        assertFalse(words.isLeaving("e@2", 60_000), "born again, it is another one");
     }
 
     @Test
     void whatIsRememberedLapses() {
-        words.leaves("e@1", 0);
-        words.wantsNothing("f@1", 5_000);
-        words.trim(4_999);
+        words.recordLeaving("e@1", 0);
+        words.recordBackoff("f@1", 5_000);
+        words.removeExpired(4_999);
         assertEquals(2, words.size());
-        assertEquals(1, words.nothingMillis("f@1", 4_999));
-        assertEquals(0, words.nothingMillis("f@1", 5_000));
-        assertFalse(words.leaving("e@1", ServerAnnouncements.LEAVING_MILLIS));
-        words.trim(ServerAnnouncements.LEAVING_MILLIS);
+        assertEquals(1, words.backoffMillis("f@1", 4_999));
+        assertEquals(0, words.backoffMillis("f@1", 5_000));
+        assertFalse(words.isLeaving("e@1", ServerAnnouncements.LEAVING_TTL_MILLIS));
+        words.removeExpired(ServerAnnouncements.LEAVING_TTL_MILLIS);
         assertEquals(0, words.size());
     }
 
     @Test
     void aSecondRefusalNeverShortensTheTime() {
-        words.wantsNothing("f@1", 5_000);
-        words.wantsNothing("f@1", 2_000);
-        assertEquals(4_000, words.nothingMillis("f@1", 1_000));
+        words.recordBackoff("f@1", 5_000);
+        words.recordBackoff("f@1", 2_000);
+        assertEquals(4_000, words.backoffMillis("f@1", 1_000));
     }
 
     @Test
     void whatIsKeptAndToldIsBounded() {
-        for (int i = 0; i < 3 * ServerAnnouncements.MOST; i++) {
-            words.leaves("e-" + i, i);
+        for (int i = 0; i < 3 * ServerAnnouncements.MAX_SERVERS; i++) {
+            words.recordLeaving("e-" + i, i);
         }
-        assertEquals(ServerAnnouncements.MOST, words.size());
-        assertEquals(ServerAnnouncements.MOST_TOLD, words.news().size());
+        assertEquals(ServerAnnouncements.MAX_SERVERS, words.size());
+        assertEquals(
+                ServerAnnouncements.MAX_SERVERS_PER_REPORT,
+                words.nextLeavingReport().size());
     }
 
     @Test
     void newsIsToldThreeTimesAndWhatAPeerToldIsNotToldOn() {
-        words.leaves("e@1", 0);
-        assertTrue(words.heardThatLeaves("f@1", 0));
-        assertFalse(words.heardThatLeaves("f@1", 1));
-        assertTrue(words.leaving("f@1", 1));
+        words.recordLeaving("e@1", 0);
+        assertTrue(words.recordPeerReportedLeaving("f@1", 0));
+        assertFalse(words.recordPeerReportedLeaving("f@1", 1));
+        assertTrue(words.isLeaving("f@1", 1));
         for (int i = 0; i < 3; i++) {
-            assertEquals(List.of("e@1"), words.news());
+            assertEquals(List.of("e@1"), words.nextLeavingReport());
         }
-        assertTrue(words.news().isEmpty());
+        assertTrue(words.nextLeavingReport().isEmpty());
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerDirectoryTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerDirectoryTest.java
@@ -15,7 +15,7 @@
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false)), 1_000);
         directory.apply(List.of(registration("a", false)), 1_800);
-        assertEquals(1, directory.open("model").size());
+        assertEquals(1, directory.available("model").size());
     }
 
     /**
@@ -28,11 +28,11 @@
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false)), 1_000);
         directory.apply(List.of(), 9_000);
-        assertEquals(2, directory.open("model").size());
+        assertEquals(2, directory.available("model").size());
         directory.apply(List.of(registration("a", false)), 9_800);
-        assertEquals(2, directory.open("model").size());
+        assertEquals(2, directory.available("model").size());
         directory.apply(List.of(registration("a", false)), 11_300);
-        assertEquals(1, directory.open("model").size());
+        assertEquals(1, directory.available("model").size());
     }
 
     @Test
@@ -40,7 +40,7 @@
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", true)), 1_000);
         directory.apply(List.of(registration("a", false)), 1_800);
-        assertTrue(directory.open("model").isEmpty());
+        assertTrue(directory.available("model").isEmpty());
     }
 
     @Test
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerHealthTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerHealthTest.java
@@ -12,14 +12,14 @@
         ServerHealth health = ServerHealth.create();
         for (int i = 0; i < 3; i++) {
             assertTrue(health.usable(0));
-            health.failed(0);
+            health.recordFailure(0);
         }
         assertFalse(health.usable(10));
         assertFalse(health.probeDue(10));
         assertTrue(health.probeDue(1_000));
-        health.probeSent(1_000);
+        health.recordProbe(1_000);
         assertFalse(health.probeDue(1_001), "one probe at a time");
-        health.succeeded();
+        health.recordSuccess();
         assertTrue(health.usable(1_002));
     }
 
@@ -28,9 +28,9 @@
         ServerHealth health = ServerHealth.create();
         for (int i = 0; i < 1_000; i++) {
             if (i % 7 == 0) {
-                health.failed(i);
+                health.recordFailure(i);
             } else {
-                health.succeeded();
+                health.recordSuccess();
             }
             assertTrue(health.usable(i));
         }
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerRestartTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerRestartTest.java
@@ -34,23 +34,23 @@
     void aServerBornAgainUnderItsIdIsAnotherOne() {
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(born("e", 100), born("f", 100)), 0);
-        ServerInstance first = directory.server("e@100");
-        first.sent(9_000);
+        ServerInstance first = directory.instance("e@100");
+        first.recordSent(9_000);
         for (int i = 0; i < 3; i++) {
-            first.health().failed(10);
+            first.health().recordFailure(10);
         }
         long digest = directory.digest();
 
         List<ServerChange> changes = directory.apply(List.of(born("e", 200), born("f", 100)), 800);
 
-        assertEquals(List.of(ServerChange.Kind.GONE, ServerChange.Kind.SEEN), kinds(changes));
-        assertEquals("e@100", changes.get(0).life());
-        ServerInstance second = directory.server("e@200");
-        assertTrue(first.gone());
-        assertEquals(0, second.runningOfAll());
-        assertEquals(0, second.promptTokensOfAll());
+        assertEquals(List.of(ServerChange.Kind.REMOVED, ServerChange.Kind.ADDED), kinds(changes));
+        assertEquals("e@100", changes.get(0).instanceId());
+        ServerInstance second = directory.instance("e@200");
+        assertTrue(first.removed());
+        assertEquals(0, second.totalInFlight());
+        assertEquals(0, second.totalPendingPrefillTokens());
         assertTrue(second.health().usable(10));
-        assertEquals(2, directory.open("model").size());
+        assertEquals(2, directory.available("model").size());
         assertNotEquals(digest, directory.digest(), "peers must see that their list is another one");
     }
 
@@ -59,9 +59,9 @@
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(born("e", 100)), 0);
         directory.apply(List.of(born("e", 200)), 800);
-        assertNull(directory.server("e@100"));
-        assertNull(directory.server("e"));
-        assertNotNull(directory.server("e@200"));
+        assertNull(directory.instance("e@100"));
+        assertNull(directory.instance("e"));
+        assertNotNull(directory.instance("e@200"));
     }
 
     @Test
@@ -69,8 +69,8 @@
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(born("e", 200), born("f", 100)), 800);
         assertTrue(directory.apply(List.of(born("e", 100)), 700).isEmpty());
-        assertNotNull(directory.server("e@200"));
-        assertNotNull(directory.server("f@100"), "an older list doesn't end servers either");
+        assertNotNull(directory.instance("e@200"));
+        assertNotNull(directory.instance("f@100"), "an older list doesn't end servers either");
     }
 
     @Test
@@ -78,7 +78,7 @@
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(born("e", 200)), 0);
         directory.apply(List.of(born("e", 100)), 800);
-        assertNotNull(directory.server("e@100"));
+        assertNotNull(directory.instance("e@100"));
     }
 
     @Test
@@ -88,21 +88,21 @@
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         Prompt prompt = Prompt.of(3_000, 80, List.of(new PromptPart("shared", 2_500), new PromptPart("own", 500)));
         PlacementRequest request = new PlacementRequest(route(), ENGINES, prompt, "north");
-        placement.sent(request, placed(placement, request, directory), 0);
-        assertEquals(500, placed(placement, request, directory).tokensToRead());
+        placement.recordSent(request, placed(placement, request, directory), 0);
+        assertEquals(500, placed(placement, request, directory).tokensToPrefill());
 
         for (ServerChange change : directory.apply(List.of(born("e", 200)), 800)) {
-            if (change.kind() == ServerChange.Kind.GONE) {
-                placement.forget(change.life());
+            if (change.kind() == ServerChange.Kind.REMOVED) {
+                placement.forgetInstance(change.instanceId());
             }
         }
 
-        assertEquals(3_000, placed(placement, request, directory).tokensToRead());
+        assertEquals(3_000, placed(placement, request, directory).tokensToPrefill());
     }
 
     private static PlacementPolicy.Decision placed(
             PromptAwarePlacement placement, PlacementRequest request, ServerDirectory directory) {
-        return placement.place(request, directory.open("model"), 900).orElseThrow();
+        return placement.place(request, directory.available("model"), 900).orElseThrow();
     }
 
     private static Route route() {
@@ -113,8 +113,8 @@
     @ParameterizedTest
     @CsvSource({"0, e", "1764717600000, e@1764717600000"})
     void aServerThatTellsNoBirthHasOneLife(long born, String life) {
-        assertEquals(life, born("e", born).life());
+        assertEquals(life, born("e", born).instanceId());
         assertTrue(Stream.of(born("e", born))
-                .allMatch(one -> ServerInstance.of(one).life().equals(life)));
+                .allMatch(one -> ServerInstance.of(one).instanceId().equals(life)));
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendPool.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendPool.java
@@ -74,7 +74,7 @@
      * @param mostIdle longest idle time of a connection that is wanted, in milliseconds
      */
     BackendConnection kept(ServerInstance server, long mostIdle) {
-        Deque<BackendConnection> connections = idle.get(server.life());
+        Deque<BackendConnection> connections = idle.get(server.instanceId());
         while (connections != null && !connections.isEmpty()) {
             BackendConnection connection = connections.peekLast();
             if (connection.usable(now(), mostIdle)) {
@@ -93,7 +93,7 @@
     /** Opens a connection; {@code done} gets it, or null if none could be made. */
     void connect(ServerInstance server, Consumer<BackendConnection> done) {
         BackendConnection connection = new BackendConnection(this, server);
-        all.computeIfAbsent(server.life(), id -> new HashSet<>()).add(connection);
+        all.computeIfAbsent(server.instanceId(), id -> new HashSet<>()).add(connection);
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -121,16 +121,16 @@
     }
 
     void idle(BackendConnection connection) {
-        if (connection.server().gone()) {
+        if (connection.server().removed()) {
             connection.channel().close();
             return;
         }
-        idle.computeIfAbsent(connection.server().life(), id -> new ArrayDeque<>())
+        idle.computeIfAbsent(connection.server().instanceId(), id -> new ArrayDeque<>())
                 .addLast(connection);
     }
 
     void closed(BackendConnection connection) {
-        String life = connection.server().life();
+        String life = connection.server().instanceId();
         Deque<BackendConnection> connections = idle.get(life);
         if (connections != null) {
             connections.remove(connection);
@@ -150,7 +150,7 @@
     void sweep(Predicate<ServerInstance> leaves) {
         for (Deque<BackendConnection> connections : Set.copyOf(idle.values())) {
             for (BackendConnection connection : Set.copyOf(connections)) {
-                boolean leaving = !connection.server().open() || leaves.test(connection.server());
+                boolean leaving = !connection.server().available() || leaves.test(connection.server());
                 if (leaving || !connection.usable(now(), LONGEST_IDLE_MILLIS)) {
                     connections.remove(connection);
                     connection.channel().close();
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Duties.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Duties.java
@@ -133,7 +133,7 @@
     private List<DutyPeer> others() {
         long now = gateway.now();
         List<DutyPeer> others = new ArrayList<>();
-        for (PeerTable.Peer peer : peers.table().all()) {
+        for (PeerTable.Peer peer : peers.table().peers()) {
             String name = peer.report().name();
             others.add(new DutyPeer(
                     name,
@@ -186,7 +186,7 @@
     }
 
     private void send(DutyPeer holder, UsageReport report, long counted) {
-        Optional<String> address = peers.table().all().stream()
+        Optional<String> address = peers.table().peers().stream()
                 .filter(peer -> peer.report().name().equals(holder.name()))
                 .map(peer -> peer.report().address())
                 .findFirst();
--- a/gateway/src/main/java/org/tanagerhinge/gateway/EndedServers.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/EndedServers.java
@@ -42,29 +42,29 @@
             gateway.endedUnder(server, Set.of(request));
             return;
         }
-        Set<RequestFingerprint> under = asked.get(server.life());
+        Set<RequestFingerprint> under = asked.get(server.instanceId());
         if (under != null) {
             if (under.size() < MOST_UNDER) {
                 under.add(request);
             }
             return;
         }
-        asked.put(server.life(), new LinkedHashSet<>(Set.of(request)));
+        asked.put(server.instanceId(), new LinkedHashSet<>(Set.of(request)));
         gateway.pool().connect(server, fresh -> answered(server, fresh));
     }
 
     private boolean endedJustNow(ServerInstance server) {
-        Long at = endedAt.get(server.life());
+        Long at = endedAt.get(server.instanceId());
         return at != null && gateway.now() - at < MOMENT_MILLIS;
     }
 
     private void answered(ServerInstance server, BackendConnection fresh) {
-        Set<RequestFingerprint> under = asked.remove(server.life());
+        Set<RequestFingerprint> under = asked.remove(server.instanceId());
         if (fresh != null) {
             gateway.pool().idle(fresh);
             return;
         }
-        endedAt.put(server.life(), gateway.now());
+        endedAt.put(server.instanceId(), gateway.now());
         gateway.endedUnder(server, under);
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
@@ -140,14 +140,14 @@
     /** Takes what a server says of itself in an answer. */
     private void answered(ServerInstance server, int status, AnswerTerms terms) {
         long now = now();
-        if (terms.leaving() && words.leaves(server.life(), now)) {
+        if (terms.leaving() && words.recordLeaving(server.instanceId(), now)) {
             tellLeaving(server.id(), "said so in an answer");
             count("server_leaving_said");
         }
         if (status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
                 && terms.retryAfterMillis().isPresent()) {
             long millis = terms.retryAfterMillis().getAsLong();
-            words.wantsNothing(server.life(), now + millis);
+            words.recordBackoff(server.instanceId(), now + millis);
             count("server_wants_nothing");
             LogLine.of(LogEvent.SERVER_WANTS_NOTHING)
                     .with(LogField.SERVER, server.id())
@@ -158,7 +158,7 @@
 
     /** A peer was told by a server that it leaves. */
     void heardThatLeaves(String life) {
-        if (words.heardThatLeaves(life, now())) {
+        if (words.recordPeerReportedLeaving(life, now())) {
             tellLeaving(life, "told by a peer");
             count("server_leaving_heard");
         }
@@ -201,7 +201,7 @@
     /** A server has ended while requests were in progress there. */
     void endedUnder(ServerInstance server, Set<RequestFingerprint> requests) {
         for (RequestFingerprint request : requests) {
-            if (quarantine.ended(request, server.life(), now())) {
+            if (quarantine.ended(request, server.instanceId(), now())) {
                 tellHeld(request, "servers ended under it, " + server.id() + " the last");
                 heldListener.accept(request);
             }
@@ -261,7 +261,7 @@
 
     /** Returns how old the list of servers is, in seconds; not a number if there is none. */
     double serversAgeSeconds() {
-        return directory.known() ? (now() - directory.lastList()) / 1000.0 : Double.NaN;
+        return directory.hasList() ? (now() - directory.newestListMillis()) / 1000.0 : Double.NaN;
     }
 
     NodeMetrics metrics() {
@@ -319,9 +319,9 @@
         LogLine.of(LogEvent.CONFIGURATION)
                 .with(LogField.CONFIG, newer.version())
                 .with(LogField.ROUTES, newer.routeCount())
-                .with(LogField.RANKS, newer.ranks())
+                .with(LogField.RANKS, newer.rankSummary())
                 .write();
-        placement.tightestPause(newer.tightestPause());
+        placement.updateMinEventGap(newer.minEventGapMillis());
         tellWaiting(wasInformed);
         return true;
     }
@@ -335,8 +335,8 @@
                     .with(LogField.SERVER, change.id())
                     .with(LogField.SERVICE, change.service())
                     .write();
-            if (change.kind() == ServerChange.Kind.GONE) {
-                placement.forget(change.life());
+            if (change.kind() == ServerChange.Kind.REMOVED) {
+                placement.forgetInstance(change.instanceId());
             }
         }
         tellWaiting(wasInformed);
@@ -345,17 +345,17 @@
 
     private static LogEvent event(ServerChange.Kind kind) {
         return switch (kind) {
-            case SEEN -> LogEvent.SERVER_SEEN;
+            case ADDED -> LogEvent.SERVER_SEEN;
             case DRAINING -> LogEvent.SERVER_DRAINING;
-            case GONE -> LogEvent.SERVER_GONE;
+            case REMOVED -> LogEvent.SERVER_GONE;
         };
     }
 
     /** Notes that a peer gave an engine parts of a prompt to read. */
     void keeps(String life, List<PromptPart> parts) {
-        ServerInstance server = directory.server(life);
+        ServerInstance server = directory.instance(life);
         if (server != null && config.isPresent()) {
-            placement.kept(server, config.get().service(server.service()), parts, now());
+            placement.recordPeerPrefill(server, config.get().service(server.service()), parts, now());
         }
     }
 
@@ -365,8 +365,8 @@
     }
 
     void sent(PlacementRequest request, PlacementPolicy.Decision placed) {
-        placed.server().sent(placed.tokensToRead());
-        placement.sent(request, placed, now());
+        placed.server().recordSent(placed.tokensToPrefill());
+        placement.recordSent(request, placed, now());
         sentListener.accept(placed.server(), request.prompt());
     }
 
@@ -376,8 +376,8 @@
      * leaving them out would only crowd the rest.
      */
     List<ServerInstance> candidates(String service, Set<String> tried, long now) {
-        List<ServerInstance> open = directory.open(service).stream()
-                .filter(server -> words.takesRequests(server.life(), now))
+        List<ServerInstance> open = directory.available(service).stream()
+                .filter(server -> words.acceptsRequests(server.instanceId(), now))
                 .toList();
         List<ServerInstance> usable = new ArrayList<>();
         List<ServerInstance> untried = new ArrayList<>();
@@ -395,25 +395,25 @@
         for (ServerInstance server : untried) {
             if (uses(Mechanism.EJECTION) && server.health().probeDue(now)) {
                 if (uses(Mechanism.PROBING)) {
-                    server.health().probeSent(now);
+                    server.health().recordProbe(now);
                     return List.of(server);
                 }
-                server.health().succeeded();
+                server.health().recordSuccess();
             }
         }
         return usable.isEmpty() || sound * 2 < open.size() ? untried : usable;
     }
 
     private boolean silent(ServerInstance server, long now) {
-        return now - lastSweep < STOOD_STILL_MILLIS && server.silentFor(now) > SILENT_MILLIS;
+        return now - lastSweep < STOOD_STILL_MILLIS && server.silenceMillis(now) > SILENT_MILLIS;
     }
 
     void attemptFailed(ServerInstance server, AttemptEnd end) {
         count("attempt_" + end.name().toLowerCase(Locale.ROOT));
         boolean wasUsable = server.health().usable(now());
         switch (end) {
-            case NOT_SENT, SILENT -> server.health().unreachable(now());
-            case SERVER_ERROR, BROKEN, CUT -> server.health().failed(now());
+            case NOT_SENT, SILENT -> server.health().recordUnreachable(now());
+            case SERVER_ERROR, BROKEN, CUT -> server.health().recordFailure(now());
             case NOT_RUN, WRONG_SERVER -> {}
         }
         tellHealth(server, wasUsable);
@@ -422,9 +422,9 @@
     void answered(ServerInstance server, int status) {
         boolean wasUsable = server.health().usable(now());
         if (status >= 500) {
-            server.health().failed(now());
+            server.health().recordFailure(now());
         } else {
-            server.health().succeeded();
+            server.health().recordSuccess();
         }
         tellHealth(server, wasUsable);
     }
@@ -442,7 +442,7 @@
 
     void load(ServerInstance server, AnswerTerms.ServerLoad load) {
         if (!peersHeard) {
-            server.told(load.running(), load.waiting());
+            server.updateReportedLoad(load.running(), load.waiting());
         }
     }
 
@@ -466,8 +466,8 @@
                 .with(LogField.SERVER, server.id())
                 .with(LogField.SERVICE, server.service())
                 .write();
-        directory.replaced(server);
-        placement.forget(server.life());
+        directory.removeReplaced(server);
+        placement.forgetInstance(server.instanceId());
     }
 
     /** Returns a number drawn evenly from 0 to 1. */
@@ -483,9 +483,9 @@
     /** Returns how long a caller for whom there is no server should wait: until the first one takes requests again. */
     long comeBackMillis(String service) {
         long now = now();
-        long first = directory.open(service).stream()
-                .filter(server -> !words.leaving(server.life(), now))
-                .mapToLong(server -> words.nothingMillis(server.life(), now))
+        long first = directory.available(service).stream()
+                .filter(server -> !words.isLeaving(server.instanceId(), now))
+                .mapToLong(server -> words.backoffMillis(server.instanceId(), now))
                 .min()
                 .orElse(0);
         return first == 0
@@ -518,7 +518,7 @@
 
     /** Returns whether this node knows a configuration and the servers. */
     boolean informed() {
-        return config.isPresent() && directory.known();
+        return config.isPresent() && directory.hasList();
     }
 
     private void tellWaiting(boolean wasInformed) {
@@ -556,13 +556,13 @@
         boolean stoodStill = now - lastSweep > STOOD_STILL_MILLIS;
         lastSweep = now;
         if (stoodStill) {
-            directory.all().forEach(server -> server.heard(now));
+            directory.all().forEach(server -> server.recordReceived(now));
         } else {
             Set.copyOf(exchanges).forEach(exchange -> exchange.leaveSilentServer(LEAVE_MILLIS));
         }
         Set.copyOf(callers).forEach(caller -> caller.sweep(now));
-        pool.sweep(server -> words.leaving(server.life(), now));
+        pool.sweep(server -> words.isLeaving(server.instanceId(), now));
         quarantine.trim(now);
-        words.trim(now);
+        words.removeExpired(now);
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
@@ -56,22 +56,22 @@
                 .setIncarnation(report.incarnation())
                 .setSequence(report.sequence())
                 .setAddress(report.address())
-                .setStoreAnswers(report.storeAnswers())
+                .setStoreAnswers(report.storeReachable())
                 .setConfigVersion(report.configVersion())
-                .setServersAgeMillis((int) Math.min(Integer.MAX_VALUE, report.serversAgeMillis()))
-                .setServersDigest(report.serversDigest())
-                .setIntervalMillis((int) report.intervalMillis());
-        report.uses()
+                .setServersAgeMillis((int) Math.min(Integer.MAX_VALUE, report.serverListAgeMillis()))
+                .setServersDigest(report.serverListDigest())
+                .setIntervalMillis((int) report.reportIntervalMillis());
+        report.loads()
                 .forEach((server, use) -> state.addUses(ServerUse.newBuilder()
                         .setServer(server)
-                        .setRunning(use.running())
-                        .setPromptTokens(Math.max(0, use.promptTokens()))));
+                        .setRunning(use.inFlight())
+                        .setPromptTokens(Math.max(0, use.pendingPrefillTokens()))));
         report.demands()
                 .forEach((service, demand) -> state.addDemands(ServiceDemand.newBuilder()
                         .setService(service)
-                        .setShortRunning(demand.shortRunning())
-                        .setShortTokens(demand.shortTokens())
-                        .setLongTokens(demand.longTokens())));
+                        .setShortRunning(demand.shortInFlight())
+                        .setShortTokens(demand.shortTokensPerSecond())
+                        .setLongTokens(demand.longTokensPerSecond())));
         for (Kept kept : told.kept()) {
             KeptParts.Builder parts = KeptParts.newBuilder().setServer(kept.server());
             kept.parts()
@@ -155,7 +155,7 @@
         for (ServerRegistration server : servers.list()) {
             list.addServers(ServerEntry.newBuilder()
                     .setId(server.id())
-                    .setBorn(server.born())
+                    .setBorn(server.startedAtMillis())
                     .setService(server.service())
                     .setAddress(text(server.address()))
                     .setDomain(server.domain())
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerDoor.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerDoor.java
@@ -61,8 +61,8 @@
                 gateway.directory().all().stream()
                         .map(ServerInstance::registration)
                         .toList(),
-                gateway.directory().known()
-                        ? gateway.now() - gateway.directory().lastList()
+                gateway.directory().hasList()
+                        ? gateway.now() - gateway.directory().newestListMillis()
                         : Integer.MAX_VALUE));
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Peers.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Peers.java
@@ -78,7 +78,7 @@
         this.gateway = gateway;
         this.loop = loop;
         this.table = PeerTable.of(gateway.options().name());
-        this.load = PeerLoadUpdater.of(gateway.directory()::server);
+        this.load = PeerLoadUpdater.of(gateway.directory()::instance);
         this.decoder = decoder;
     }
 
@@ -150,13 +150,14 @@
     /** Notes that a server was given a request: its prompt's parts are told with the next report. */
     void sent(ServerInstance server, Prompt prompt) {
         tellIfDue(prompt.inputTokens());
-        if (kept.size() < ReportSchedule.MOST_KEPT && prompt.parts().size() > 1) {
-            kept.add(new PeerCodec.Kept(server.life(), prompt.sharedParts()));
+        if (kept.size() < ReportSchedule.MAX_PROMPTS_PER_REPORT
+                && prompt.parts().size() > 1) {
+            kept.add(new PeerCodec.Kept(server.instanceId(), prompt.sharedParts()));
         }
     }
 
     private void report() {
-        table.trim(gateway.now());
+        table.forgetSilent(gateway.now());
         tellPresence(gateway.now());
         takeSums();
         tell(gateway.quarantine().standing(gateway.now()));
@@ -164,13 +165,13 @@
 
     /** Returns the time between two reports of a node whose load hardly changes; it grows with the number of peers. */
     long intervalMillis() {
-        return ReportSchedule.intervalMillis(addresses.size());
+        return ReportSchedule.idleIntervalMillis(addresses.size());
     }
 
     private void tellIfDue(int tokens) {
         tokensSince += tokens;
-        if (tokensSince >= ReportSchedule.DUE_TOKENS
-                && gateway.now() - toldAt >= ReportSchedule.leastMillis(addresses.size())) {
+        if (tokensSince >= ReportSchedule.EARLY_REPORT_TOKENS
+                && gateway.now() - toldAt >= ReportSchedule.minIntervalMillis(addresses.size())) {
             tellNow();
         }
     }
@@ -200,7 +201,7 @@
     private void tell(List<Quarantine.Suspicion> standing) {
         PeerReport state = state();
         List<Quarantine.Suspicion> news = gateway.quarantine().news(gateway.now());
-        List<String> leaving = gateway.words().news();
+        List<String> leaving = gateway.words().nextLeavingReport();
         byte[] bytes = PeerCodec.state(new PeerCodec.Told(state, List.copyOf(kept), news, leaving, dutyWord.get()));
         byte[] more = bytes;
         int chosen = -1;
@@ -226,8 +227,10 @@
         long now = gateway.now();
         Map<String, PeerReport.InstanceLoad> uses = new HashMap<>();
         for (ServerInstance server : gateway.directory().all()) {
-            if (server.running() > 0) {
-                uses.put(server.life(), new PeerReport.InstanceLoad(server.running(), server.promptTokens()));
+            if (server.inFlight() > 0) {
+                uses.put(
+                        server.instanceId(),
+                        new PeerReport.InstanceLoad(server.inFlight(), server.pendingPrefillTokens()));
             }
         }
         return new PeerReport(
@@ -237,37 +240,37 @@
                 address(),
                 storeAnswers.getAsBoolean(),
                 gateway.configVersion(),
-                gateway.directory().known() ? now - gateway.directory().lastList() : Integer.MAX_VALUE,
+                gateway.directory().hasList() ? now - gateway.directory().newestListMillis() : Integer.MAX_VALUE,
                 gateway.directory().digest(),
                 intervalMillis(),
                 uses,
-                gateway.placement().demands(now));
+                gateway.placement().localDemands(now));
     }
 
     private void hear(PeerCodec.Told told) {
         PeerReport report = told.report();
         long now = gateway.now();
-        Map<String, PeerReport.InstanceLoad> before = table.uses(report.name(), now);
-        if (!table.hear(report, now)) {
+        Map<String, PeerReport.InstanceLoad> before = table.loads(report.name(), now);
+        if (!table.accept(report, now)) {
             return;
         }
         add(report.address());
         dutyListener.accept(report.name(), told.duty());
-        gateway.budget().nodes(table.nodes());
+        gateway.budget().nodes(table.nodeCount());
         for (PeerCodec.Kept parts : told.kept()) {
             gateway.keeps(parts.server(), parts.parts());
         }
         told.suspicions().forEach(gateway::heard);
         told.leaving().forEach(gateway::heardThatLeaves);
-        takeChange(before, report.uses());
+        takeChange(before, report.loads());
         if (report.configVersion() > gateway.configVersion()) {
             askConfig(report);
         }
-        long age = gateway.directory().known() ? now - gateway.directory().lastList() : Long.MAX_VALUE;
-        if (report.serversAgeMillis() + NEWER_MILLIS < age) {
-            if (report.serversDigest() == gateway.directory().digest()
-                    && gateway.directory().known()) {
-                gateway.directory().confirmed(now - report.serversAgeMillis());
+        long age = gateway.directory().hasList() ? now - gateway.directory().newestListMillis() : Long.MAX_VALUE;
+        if (report.serverListAgeMillis() + NEWER_MILLIS < age) {
+            if (report.serverListDigest() == gateway.directory().digest()
+                    && gateway.directory().hasList()) {
+                gateway.directory().confirmList(now - report.serverListAgeMillis());
             } else {
                 askServers(report);
             }
@@ -283,7 +286,7 @@
             return;
         }
         gateway.peersHeard(true);
-        load.changed(before, after);
+        load.applyChange(before, after);
     }
 
     /** Gives placement what the peers have in progress and what their callers ask. */
@@ -294,8 +297,8 @@
         if (!heard) {
             return;
         }
-        load.sums(gateway.directory().all(), table.uses(now));
-        gateway.placement().peers(table.demands(now));
+        load.applyTotals(gateway.directory().all(), table.loads(now));
+        gateway.placement().updatePeerDemands(table.demands(now));
     }
 
     private void tellPresence(long now) {
@@ -318,9 +321,9 @@
     /** Returns the age of the oldest report of a present peer, in seconds; not a number without one. */
     double oldestReportSeconds() {
         long now = gateway.now();
-        return table.all().stream()
+        return table.peers().stream()
                 .filter(peer -> PeerTable.present(peer, now))
-                .mapToDouble(peer -> (now - peer.heardAt()) / 1000.0)
+                .mapToDouble(peer -> (now - peer.receivedAtMillis()) / 1000.0)
                 .max()
                 .orElse(Double.NaN);
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
@@ -83,8 +83,8 @@
     /** Takes a kept connection, or makes one, and sends the request. */
     void start() {
         gateway.sent(request, placed);
-        waiting = RankGate.PendingRequest.of(server.life(), exchange.rank(), began + route.targetMillis());
-        gateway.ranks().sent(waiting);
+        waiting = RankGate.PendingRequest.of(server.instanceId(), exchange.rank(), began + route.targetMillis());
+        gateway.ranks().recordSent(waiting);
         long mostIdle = route.idempotent() ? Long.MAX_VALUE : FRESH_MILLIS;
         BackendConnection kept = gateway.pool().kept(server, mostIdle);
         if (kept != null) {
@@ -125,7 +125,7 @@
 
     /** Leaves a server that owes events of a stream and has said nothing for longer than a time. */
     void leaveIfSilent(long silentMillis) {
-        if (streaming && server.silentFor(gateway.now()) > silentMillis) {
+        if (streaming && server.silenceMillis(gateway.now()) > silentMillis) {
             connection.abort();
             fail(AttemptEnd.SILENT, "server fell silent");
         }
@@ -141,7 +141,7 @@
     @Override
     public void head(HttpResponse response, AnswerTerms answerTerms) {
         int status = response.status().code();
-        server.heard(gateway.now());
+        server.recordReceived(gateway.now());
         answerTerms.load().ifPresent(load -> gateway.load(server, load));
         if (status == 421) {
             gateway.replaced(server);
@@ -209,7 +209,7 @@
 
     private void stream(ByteBuf bytes) {
         long now = gateway.now();
-        server.heard(now);
+        server.recordReceived(now);
         for (EventSplitter.Event event : events.feed(bytes)) {
             noteRead();
             if (done || progress.knows(event.id())) {
@@ -310,13 +310,13 @@
         if (!streaming) {
             streaming = true;
             exchange.serverBegan();
-            server.streamBegan();
-            gateway.ranks().settled(waiting);
+            server.recordStreamStart();
+            gateway.ranks().recordSettled(waiting);
         }
         if (reading) {
             reading = false;
-            server.read(placed.tokensToRead());
-            gateway.placement().read(request, placed, gateway.now() - began);
+            server.recordPrefill(placed.tokensToPrefill());
+            gateway.placement().recordPrefill(request, placed, gateway.now() - began);
         }
     }
 
@@ -325,19 +325,19 @@
             return;
         }
         done = true;
-        gateway.ranks().settled(waiting);
+        gateway.ranks().recordSettled(waiting);
         if (patience != null) {
             patience.cancel(false);
         }
         if (streaming) {
-            server.streamEnded();
+            server.recordStreamEnd();
         }
         if (reading) {
             reading = false;
-            server.read(placed.tokensToRead());
+            server.recordPrefill(placed.tokensToPrefill());
         }
-        server.ended();
-        gateway.placement().ended(request, placed, gateway.now());
+        server.recordEnd();
+        gateway.placement().recordEnd(request, placed, gateway.now());
         if (events != null) {
             events.release();
         }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
@@ -108,7 +108,7 @@
         }
         route = found.get();
         workspace = terms.key().flatMap(config::workspace);
-        if (workspace.isEmpty() && !route.open() && config.keysNeeded()) {
+        if (workspace.isEmpty() && !route.anonymous() && config.requiresKey()) {
             refuse(Refusal.of(401, ResultCode.UNKNOWN_KEY));
             return;
         }
@@ -141,7 +141,7 @@
         ServerInstance chosen = placed.get().server();
         if (gateway.uses(Mechanism.RANK_GATE)
                 && history.sends() == 0
-                && gateway.ranks().yields(rank(), chosen.life(), now)) {
+                && gateway.ranks().mustYield(rank(), chosen.instanceId(), now)) {
             trail.yields(chosen, rank());
             refuse(Refusal.notRun(ResultCode.QUEUE_FULL, gateway.comeBackMillis()));
             return;
@@ -160,10 +160,11 @@
     private boolean turnedAway(PlacementPolicy.Decision placed) {
         if (history.sends() > 0
                 || !gateway.uses(Mechanism.ADMISSION)
-                || !config.leastUrgent(workspace, route, service)) {
+                || !config.isLeastUrgent(workspace, route, service)) {
             return false;
         }
-        OptionalLong comeBack = AdmissionControl.turnedAway(route, placed.waitMillis(), leftMillis(), gateway.draw());
+        OptionalLong comeBack =
+                AdmissionControl.retryAfterMillis(route, placed.expectedWaitMillis(), leftMillis(), gateway.draw());
         comeBack.ifPresent(millis -> {
             trail.turnedAway(placed);
             refuse(Refusal.notRun(ResultCode.QUEUE_FULL, millis));
@@ -228,7 +229,7 @@
     }
 
     private int level(PlacementPolicy.Decision placed) {
-        return config.level(workspace, route, service, placed.step());
+        return config.priorityLevel(workspace, route, service, placed.step());
     }
 
     /** Returns the time until the request is given up, in milliseconds. */
@@ -249,7 +250,7 @@
                                 workspace.map(WorkspaceConfig::name),
                                 level(placed),
                                 progress.resumeAfter(),
-                                placed.fetch().map(fetch -> fetch.from().address()),
+                                placed.fetch().map(fetch -> fetch.source().address()),
                                 progress.weightsVersion()));
         if (body.isReadable() || !bodiless(head.method())) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RequestTrail.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RequestTrail.java
@@ -49,7 +49,7 @@
                 .with(LogField.CONFIG, gateway.configVersion())
                 .with(
                         LogField.SERVERS_AGE_MS,
-                        gateway.now() - gateway.directory().lastList())
+                        gateway.now() - gateway.directory().newestListMillis())
                 .with(LogField.RANK, rank)
                 .with(LogField.LEFT_MS, leftMillis)
                 .write();
@@ -64,15 +64,15 @@
                 .with(LogField.SERVER, server)
                 .with(LogField.ATTEMPT, attempts)
                 .with(LogField.CANDIDATES, candidates)
-                .with(LogField.RUNNING, chosen.runningOfAll())
-                .with(LogField.READING, chosen.promptTokensOfAll())
-                .with(LogField.TO_READ, placed.tokensToRead())
+                .with(LogField.RUNNING, chosen.totalInFlight())
+                .with(LogField.READING, chosen.totalPendingPrefillTokens())
+                .with(LogField.TO_READ, placed.tokensToPrefill())
                 .with(LogField.STEP, placed.step())
                 .with(LogField.LEVEL, level);
         placed.fetch().ifPresent(fetch -> {
             gateway.count("fetch");
             line.with(LogField.FETCH, fetch.tokens())
-                    .with(LogField.FETCH_FROM, fetch.from().id());
+                    .with(LogField.FETCH_FROM, fetch.source().id());
         });
         line.with(LogField.PEERS, gateway.peersPresent()).write();
     }
@@ -116,7 +116,7 @@
     void turnedAway(PlacementPolicy.Decision placed) {
         gateway.count("turned_away");
         server = placed.server().id();
-        why = "reading takes " + Math.round(placed.waitMillis()) + " ms there";
+        why = "reading takes " + Math.round(placed.expectedWaitMillis()) + " ms there";
     }
 
     /** The request is sent no more, since servers ended under it. */
@@ -198,6 +198,6 @@
             return now - arrived > of.targetMillis();
         }
         return progress.firstAt() - arrived > of.targetMillis()
-                || (of.gapMillis() > 0 && progress.longestPause() > of.gapMillis());
+                || (of.maxEventGapMillis() > 0 && progress.longestPause() > of.maxEventGapMillis());
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/StoreFeed.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/StoreFeed.java
@@ -96,12 +96,12 @@
     }
 
     private boolean reads() {
-        return peers.table().reads(storeAnswers, gateway.now());
+        return peers.table().isStoreReader(storeAnswers, gateway.now());
     }
 
     private void servers() {
-        long age = gateway.now() - gateway.directory().lastList();
-        boolean old = !gateway.directory().known() || age > OLD_LIST_MILLIS + peers.intervalMillis();
+        long age = gateway.now() - gateway.directory().newestListMillis();
+        boolean old = !gateway.directory().hasList() || age > OLD_LIST_MILLIS + peers.intervalMillis();
         boolean reads = reads();
         if (old && !reads && gateway.informed()) {
             catchUp();
--- a/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
@@ -50,12 +50,12 @@
             for (String life : List.of("i-1@1700000000000", "i-2@1700000000000", "i-3@1700000000000")) {
                 quarantine.ended(new RequestFingerprint(i, i), life, 0);
             }
-            words.leaves("i-0123456789" + i + "@1700000000000", 0);
+            words.recordLeaving("i-0123456789" + i + "@1700000000000", 0);
         }
         List<Quarantine.Suspicion> all = new ArrayList<>(quarantine.news(1_000_000));
         all.addAll(quarantine.standing(1_000_000));
-        int bytes =
-                PeerCodec.state(told(all, words.news())).length - PeerCodec.state(told(List.of(), List.of())).length;
+        int bytes = PeerCodec.state(told(all, words.nextLeavingReport())).length
+                - PeerCodec.state(told(List.of(), List.of())).length;
         assertTrue(bytes < CONTROL_BYTES_A_SECOND / 4, bytes + " bytes");
     }
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/EngineModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/EngineModel.java
@@ -240,7 +240,7 @@
         }
         double now = fleet.now();
         if (call.fetchedAt < 0) {
-            EngineModel source = fleet.engine(call.placed.fetch().get().from().id());
+            EngineModel source = fleet.engine(call.placed.fetch().get().source().id());
             int tokens = 0;
             for (PromptPart part : call.prompt.parts()) {
                 if (!source.holds(part.id())) {
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetModel.java
@@ -295,7 +295,7 @@
                 call.gateway.settle(call, Double.isNaN(call.firstEventAt));
                 call.engine = null;
                 if (call.kind.resumable()) {
-                    call.gateway.server(engine.id).health().unreachable((long) now);
+                    call.gateway.server(engine.id).health().recordUnreachable((long) now);
                     call.gateway.take(call, Set.of(engine.id));
                 } else {
                     call.over = true;
@@ -313,7 +313,8 @@
         if (last == null) {
             result.readFirst(part.tokens());
         } else if (now - last < AGAIN_MILLIS) {
-            boolean believed = call.placed.tokensToRead() <= call.prompt.inputTokens() - call.prompt.sharedTokens() + 1;
+            boolean believed =
+                    call.placed.tokensToPrefill() <= call.prompt.inputTokens() - call.prompt.sharedTokens() + 1;
             boolean elsewhere = engines.values().stream().anyMatch(engine -> engine != at && engine.holds(part.id()));
             result.readAgain(part.tokens(), believed, elsewhere);
         }
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
@@ -58,7 +58,7 @@
         this.off = off;
         this.placement = PromptAwarePlacement.without(off);
         this.table = PeerTable.of(name);
-        placement.tightestPause(
+        placement.updateMinEventGap(
                 scene.kinds().stream().mapToLong(PromptKind::gapMillis).min().orElse(120));
         for (int i = 0; i < scene.engines(); i++) {
             String id = FleetModel.engineId(i);
@@ -94,15 +94,15 @@
         ServerInstance chosen = placed.get().server();
         if (call.sends == 0
                 && !off.contains(Mechanism.RANK_GATE)
-                && ranks.yields(rank(call), chosen.life(), millis(now))) {
+                && ranks.mustYield(rank(call), chosen.instanceId(), millis(now))) {
             fleet.refused(call, 300 + fleet.random().nextInt(300), "yields");
             return;
         }
-        boolean last = fleet.config().leastUrgent(call.workspace, request.route(), service.name());
+        boolean last = fleet.config().isLeastUrgent(call.workspace, request.route(), service.name());
         if (call.sends == 0 && last && !off.contains(Mechanism.ADMISSION)) {
-            OptionalLong comeBack = AdmissionControl.turnedAway(
+            OptionalLong comeBack = AdmissionControl.retryAfterMillis(
                     request.route(),
-                    placed.get().waitMillis(),
+                    placed.get().expectedWaitMillis(),
                     millis(call.deadline - now),
                     fleet.random().nextDouble());
             if (comeBack.isPresent()) {
@@ -115,23 +115,24 @@
         call.placed = placed.get();
         call.sentAt = now;
         call.level = fleet.config()
-                .level(
+                .priorityLevel(
                         call.workspace,
                         request.route(),
                         service.name(),
                         placed.get().step());
         call.sequence = fleet.nextSequence();
-        chosen.sent(placed.get().tokensToRead());
-        placement.sent(request, placed.get(), millis(now));
-        call.waiting = RankGate.PendingRequest.of(chosen.life(), rank(call), millis(now) + call.kind.targetMillis());
-        ranks.sent(call.waiting);
+        chosen.recordSent(placed.get().tokensToPrefill());
+        placement.recordSent(request, placed.get(), millis(now));
+        call.waiting =
+                RankGate.PendingRequest.of(chosen.instanceId(), rank(call), millis(now) + call.kind.targetMillis());
+        ranks.recordSent(call.waiting);
         noteKept(chosen, call);
         EngineModel engine = fleet.engine(chosen.id());
         Set<String> again = new HashSet<>(tried);
         again.add(chosen.id());
         if (!engine.up()) {
             settle(call, true);
-            chosen.health().unreachable(millis(now));
+            chosen.health().recordUnreachable(millis(now));
             take(call, again);
         } else if (!engine.offer(call, now)) {
             fleet.fullEngines++;
@@ -148,7 +149,7 @@
         List<ServerInstance> usable = new ArrayList<>();
         for (ServerInstance server : servers.values()) {
             if (!tried.contains(server.id()) && server.health().probeDue(now)) {
-                server.health().probeSent(now);
+                server.health().recordProbe(now);
                 return List.of(server);
             }
             if (!tried.contains(server.id()) && server.health().usable(now)) {
@@ -159,11 +160,12 @@
     }
 
     private void noteKept(ServerInstance server, ModelCall call) {
-        if (kept.size() < ReportSchedule.MOST_KEPT) {
-            kept.add(new KeptParts(server.life(), call.prompt.sharedParts()));
+        if (kept.size() < ReportSchedule.MAX_PROMPTS_PER_REPORT) {
+            kept.add(new KeptParts(server.instanceId(), call.prompt.sharedParts()));
         }
         tokensSince += call.prompt.inputTokens();
-        if (tokensSince >= ReportSchedule.DUE_TOKENS && fleet.now() - toldAt >= ReportSchedule.leastMillis(peers())) {
+        if (tokensSince >= ReportSchedule.EARLY_REPORT_TOKENS
+                && fleet.now() - toldAt >= ReportSchedule.minIntervalMillis(peers())) {
             tell();
         }
     }
@@ -174,41 +176,43 @@
 
     /** The first event of an answer has come. */
     void began(ModelCall call) {
-        ranks.settled(call.waiting);
+        ranks.recordSettled(call.waiting);
         ServerInstance server = call.placed.server();
-        server.read(call.placed.tokensToRead());
-        server.health().succeeded();
-        placement.read(call.request, call.placed, millis(fleet.now() - call.sentAt));
+        server.recordPrefill(call.placed.tokensToPrefill());
+        server.health().recordSuccess();
+        placement.recordPrefill(call.request, call.placed, millis(fleet.now() - call.sentAt));
     }
 
     /** A request has left its engine, whichever way. */
     void settle(ModelCall call, boolean reading) {
-        ranks.settled(call.waiting);
+        ranks.recordSettled(call.waiting);
         ServerInstance server = call.placed.server();
         if (reading) {
-            server.read(call.placed.tokensToRead());
+            server.recordPrefill(call.placed.tokensToPrefill());
         }
-        server.ended();
-        placement.ended(call.request, call.placed, millis(fleet.now()));
+        server.recordEnd();
+        placement.recordEnd(call.request, call.placed, millis(fleet.now()));
     }
 
     void report() {
-        table.trim(millis(fleet.now()));
+        table.forgetSilent(millis(fleet.now()));
         takeSums();
         tell();
-        fleet.at(fleet.now() + ReportSchedule.intervalMillis(peers()), this::report);
+        fleet.at(fleet.now() + ReportSchedule.idleIntervalMillis(peers()), this::report);
     }
 
     private void tell() {
         Map<String, PeerReport.InstanceLoad> uses = new HashMap<>();
         for (ServerInstance server : servers.values()) {
-            if (server.running() > 0) {
-                uses.put(server.life(), new PeerReport.InstanceLoad(server.running(), server.promptTokens()));
+            if (server.inFlight() > 0) {
+                uses.put(
+                        server.instanceId(),
+                        new PeerReport.InstanceLoad(server.inFlight(), server.pendingPrefillTokens()));
             }
         }
-        long interval = ReportSchedule.intervalMillis(peers());
+        long interval = ReportSchedule.idleIntervalMillis(peers());
         PeerReport report = new PeerReport(
-                name, 1, ++reports, name, true, 1, 0, 0, interval, uses, placement.demands(millis(fleet.now())));
+                name, 1, ++reports, name, true, 1, 0, 0, interval, uses, placement.localDemands(millis(fleet.now())));
         List<KeptParts> told = List.copyOf(kept);
         kept.clear();
         tokensSince = 0;
@@ -224,17 +228,17 @@
 
     private void hear(PeerReport report, List<KeptParts> told) {
         long now = millis(fleet.now());
-        Map<String, PeerReport.InstanceLoad> before = table.uses(report.name(), now);
-        if (!table.hear(report, now)) {
+        Map<String, PeerReport.InstanceLoad> before = table.loads(report.name(), now);
+        if (!table.accept(report, now)) {
             return;
         }
         for (KeptParts parts : told) {
-            placement.kept(servers.get(parts.server()), service, parts.parts(), now);
+            placement.recordPeerPrefill(servers.get(parts.server()), service, parts.parts(), now);
         }
         if (off.contains(Mechanism.PEER_LOAD)) {
             return;
         }
-        load.changed(before, report.uses());
+        load.applyChange(before, report.loads());
     }
 
     private void takeSums() {
@@ -242,12 +246,12 @@
             return;
         }
         long now = millis(fleet.now());
-        load.sums(servers.values(), table.uses(now));
-        placement.peers(table.demands(now));
+        load.applyTotals(servers.values(), table.loads(now));
+        placement.updatePeerDemands(table.demands(now));
     }
 
     /** An engine has lost power. */
     void lost(String engine) {
-        placement.forget(engine);
+        placement.forgetInstance(engine);
     }
 }
