--- a/core/src/main/java/org/tanagerhinge/core/agent/ConcurrencyLimit.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/ConcurrencyLimit.java
@@ -32,7 +32,7 @@
     void tick(Instant now, boolean saturated);
 
     /** Sets the maximum mean gap between tokens; zero for none. */
-    void maxMeanGap(Duration maxMeanGap);
+    void maxMeanGap(Duration newMaxMeanGap);
 
     /** Creates the limit that a policy selects. */
     static ConcurrencyLimit of(AgentOptions.ConcurrencyPolicy policy) {
@@ -60,7 +60,7 @@
         public void tick(Instant now, boolean saturated) {}
 
         @Override
-        public void maxMeanGap(Duration maxMeanGap) {}
+        public void maxMeanGap(Duration newMaxMeanGap) {}
     }
 
     /** Adapts the limit to the knee of the measured throughput curve. */
@@ -112,8 +112,8 @@
         }
 
         @Override
-        public void maxMeanGap(Duration maxMeanGap) {
-            maxMeanGap = maxMeanGap;
+        public void maxMeanGap(Duration newMaxMeanGap) {
+            maxMeanGap = newMaxMeanGap;
         }
 
         @Override
