--- a/gateway/src/main/java/org/tanagerhinge/gateway/AnswerProgress.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/AnswerProgress.java
@@ -5,55 +5,55 @@
 
 /** How far one request's answer has been passed on to its caller, over all its attempts. */
 final class AnswerProgress {
-    private long lastEvent;
-    private boolean headPassed;
-    private boolean eventsPassed;
+    private long lastEventId;
+    private boolean headForwarded;
+    private boolean eventsForwarded;
     private Optional<String> weightsVersion = Optional.empty();
-    private long firstAt = -1;
-    private long lastAt;
-    private long longestPause;
+    private long firstEventAtMillis = -1;
+    private long lastEventAtMillis;
+    private long longestGapMillis;
 
     /** Returns the progress of a request that asks for the events after one; 0 for all. */
     static AnswerProgress after(long event) {
         AnswerProgress progress = new AnswerProgress();
-        progress.lastEvent = event;
+        progress.lastEventId = event;
         return progress;
     }
 
-    boolean headPassed() {
-        return headPassed;
+    boolean headForwarded() {
+        return headForwarded;
     }
 
-    void passedHead() {
-        headPassed = true;
+    void markHeadForwarded() {
+        headForwarded = true;
     }
 
     /** Returns whether an event was passed on, or was asked not to be sent. */
-    boolean knows(long event) {
-        return event >= 0 && event <= lastEvent;
+    boolean alreadyForwarded(long event) {
+        return event >= 0 && event <= lastEventId;
     }
 
     /** Notes that something of the answer was passed on; the event's id is negative if it has none. */
-    void passed(long event, long now) {
+    void forwarded(long event, long now) {
         if (event >= 0) {
-            lastEvent = event;
-            eventsPassed = true;
+            lastEventId = event;
+            eventsForwarded = true;
         }
-        if (firstAt < 0) {
-            firstAt = now;
+        if (firstEventAtMillis < 0) {
+            firstEventAtMillis = now;
         } else {
-            longestPause = Math.max(longestPause, now - lastAt);
+            longestGapMillis = Math.max(longestGapMillis, now - lastEventAtMillis);
         }
-        lastAt = now;
+        lastEventAtMillis = now;
     }
 
     /** Returns the event after which another server would have to go on; empty if the caller's own word stands. */
-    OptionalLong resumeAfter() {
-        return eventsPassed ? OptionalLong.of(lastEvent) : OptionalLong.empty();
+    OptionalLong resumeAfterEvent() {
+        return eventsForwarded ? OptionalLong.of(lastEventId) : OptionalLong.empty();
     }
 
-    long lastEvent() {
-        return lastEvent;
+    long lastEventId() {
+        return lastEventId;
     }
 
     /** Returns the version of the weights with which the answer was begun. */
@@ -61,19 +61,19 @@
         return weightsVersion;
     }
 
-    void begunWith(Optional<String> version) {
+    void startedWith(Optional<String> version) {
         if (weightsVersion.isEmpty()) {
             weightsVersion = version;
         }
     }
 
     /** Returns when the first event was passed on, in milliseconds; negative if none was. */
-    long firstAt() {
-        return firstAt;
+    long firstEventAtMillis() {
+        return firstEventAtMillis;
     }
 
     /** Returns the longest pause between two events that were passed on, in milliseconds. */
-    long longestPause() {
-        return longestPause;
+    long longestGapMillis() {
+        return longestGapMillis;
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/AnswerTerms.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/AnswerTerms.java
@@ -17,7 +17,7 @@
 public record AnswerTerms(
         String attemptId,
         boolean sealed,
-        boolean notRun,
+        boolean notExecuted,
         Optional<ServerLoad> load,
         Optional<String> weightsVersion,
         boolean leaving,
--- a/gateway/src/main/java/org/tanagerhinge/gateway/AttemptListener.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/AttemptListener.java
@@ -7,14 +7,14 @@
 /** Hears of one attempt at a backend server; after {@link #ended} or {@link #failed} nothing more is heard. */
 interface AttemptListener {
     /** The attempt's own answer has begun. */
-    void head(HttpResponse response, AnswerTerms terms);
+    void responseHead(HttpResponse response, AnswerTerms terms);
 
     /** More of the answer's body came; the bytes stay the caller's. */
-    void body(ByteBuf bytes);
+    void responseBody(ByteBuf bytes);
 
     /** The answer is whole. */
-    void ended();
+    void responseCompleted();
 
     /** The attempt has failed. */
-    void failed(AttemptEnd end, String why);
+    void attemptFailed(AttemptEnd end, String why);
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
@@ -27,29 +27,29 @@
  * the next one is expected. Such an answer is skipped; bytes that come while nothing is expected end the connection.
  */
 final class BackendConnection extends ChannelInboundHandlerAdapter {
-    private static final int INITIAL_LINE = 4096;
-    private static final int HEADERS = 65_536;
-    private static final int CHUNK = 16_384;
+    private static final int MAX_INITIAL_LINE_BYTES = 4096;
+    private static final int MAX_HEADER_BYTES = 65_536;
+    private static final int MAX_CHUNK_BYTES = 16_384;
     /** Another server answers at the address: what it says of itself isn't about this one. */
-    private static final int ANOTHER_SERVER = 421;
+    private static final int MISDIRECTED_REQUEST = 421;
     /** Idle time after which a server is taken to close if it doesn't say, in milliseconds. */
-    private static final long IDLE_DEFAULT_MILLIS = 4_000;
+    private static final long DEFAULT_IDLE_TIMEOUT_MILLIS = 4_000;
     /** Share of a server's idle time up to which a connection is used: its close must not cross a request. */
-    private static final double IDLE_USED = 0.6;
+    private static final double REUSABLE_IDLE_SHARE = 0.6;
 
     private final BackendPool pool;
     private final ServerInstance server;
     private final AnswerDecoder decoder = new AnswerDecoder();
     private Channel channel;
-    private AttemptListener attempt;
+    private AttemptListener activeListener;
     private String attemptId = "";
     private ChannelFuture written;
-    private boolean answering;
+    private boolean responding;
     private boolean skipping;
     private boolean broken;
     private boolean closeAfter;
-    private long idleMillis = IDLE_DEFAULT_MILLIS;
-    private long idleSince;
+    private long idleTimeoutMillis = DEFAULT_IDLE_TIMEOUT_MILLIS;
+    private long idleSinceMillis;
 
     BackendConnection(BackendPool pool, ServerInstance server) {
         this.pool = pool;
@@ -60,7 +60,7 @@
         return server;
     }
 
-    void addTo(Channel created) {
+    void attach(Channel created) {
         channel = created;
         created.pipeline().addLast(new HttpRequestEncoder(), decoder, this);
     }
@@ -70,17 +70,17 @@
     }
 
     /** Returns whether the server can be expected to take another request on this connection. */
-    boolean usable(long now, long mostIdle) {
+    boolean reusable(long now, long mostIdle) {
         return channel.isActive()
-                && attempt == null
-                && now - idleSince < Math.min(mostIdle, (long) (IDLE_USED * idleMillis));
+                && activeListener == null
+                && now - idleSinceMillis < Math.min(mostIdle, (long) (REUSABLE_IDLE_SHARE * idleTimeoutMillis));
     }
 
     /** Sends a request whose answer goes to a listener. */
     void send(FullHttpRequest request, String id, AttemptListener listener) {
-        attempt = listener;
+        activeListener = listener;
         attemptId = id;
-        answering = false;
+        responding = false;
         skipping = false;
         closeAfter = false;
         decoder.expect(request.method());
@@ -89,7 +89,7 @@
 
     /** Ends the attempt without another word to its listener, and with it the connection. */
     void abort() {
-        attempt = null;
+        activeListener = null;
         channel.close();
     }
 
@@ -99,13 +99,13 @@
      * @param broken runs if the connection breaks before the answer has ended
      */
     void detach(Runnable broken) {
-        if (attempt != null) {
-            attempt = new Discarding(broken);
+        if (activeListener != null) {
+            activeListener = new Discarding(broken);
         }
     }
 
     /** Stops or goes on with reading, so that a slow caller fills no memory here. */
-    void reading(boolean on) {
+    void setReading(boolean on) {
         channel.config().setAutoRead(on);
     }
 
@@ -115,22 +115,22 @@
             if (broken) {
                 return;
             }
-            if (attempt == null) {
+            if (activeListener == null) {
                 channel.close();
                 return;
             }
             if (message instanceof HttpResponse response) {
-                head(response);
+                handleHead(response);
             }
             if (message instanceof HttpContent content && !broken) {
-                content(content);
+                handleContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void head(HttpResponse response) {
+    private void handleHead(HttpResponse response) {
         if (response.decoderResult().isFailure()
                 || !"HTTP".equals(response.protocolVersion().protocolName())) {
             fail(AttemptEnd.BROKEN, "not an HTTP answer");
@@ -140,27 +140,27 @@
             skipping = true;
             return;
         }
-        AnswerTerms terms = pool.dialect().answerTerms(response);
-        if (response.status().code() != ANOTHER_SERVER) {
-            pool.heard(server, response.status().code(), terms);
+        AnswerTerms terms = pool.dialect().responseMetadata(response);
+        if (response.status().code() != MISDIRECTED_REQUEST) {
+            pool.responseReceived(server, response.status().code(), terms);
         }
         if (!terms.attemptId().isEmpty() && !terms.attemptId().equals(attemptId)) {
             pool.count("answer_of_another_request");
             skipping = true;
             return;
         }
-        boolean refusal = terms.notRun() || response.status().code() == ANOTHER_SERVER;
+        boolean refusal = terms.notExecuted() || response.status().code() == MISDIRECTED_REQUEST;
         if (terms.attemptId().isEmpty() && !refusal) {
             fail(AttemptEnd.BROKEN, "answer names no request");
             return;
         }
         skipping = false;
-        answering = true;
-        noteKeepAlive(response);
-        attempt.head(response, terms);
+        responding = true;
+        readKeepAlive(response);
+        activeListener.responseHead(response, terms);
     }
 
-    private void content(HttpContent content) {
+    private void handleContent(HttpContent content) {
         if (content.decoderResult().isFailure()) {
             fail(AttemptEnd.BROKEN, "garbled body");
             return;
@@ -170,33 +170,33 @@
             skipping = !last;
             return;
         }
-        if (!answering || attempt == null) {
+        if (!responding || activeListener == null) {
             return;
         }
         ByteBuf bytes = content.content();
         if (bytes.isReadable()) {
-            attempt.body(bytes);
+            activeListener.responseBody(bytes);
         }
-        if (last && attempt != null) {
+        if (last && activeListener != null) {
             finish();
         }
     }
 
     private void finish() {
-        AttemptListener listener = attempt;
-        attempt = null;
-        idleSince = pool.now();
+        AttemptListener listener = activeListener;
+        activeListener = null;
+        idleSinceMillis = pool.nowMillis();
         if (closeAfter || !written.isDone() || !channel.isActive()) {
             channel.close();
         } else {
             channel.config().setAutoRead(true);
             pool.idle(this);
         }
-        listener.ended();
+        listener.responseCompleted();
     }
 
-    private void noteKeepAlive(HttpResponse response) {
-        closeAfter = !HttpUtil.isKeepAlive(response) || !framed(response);
+    private void readKeepAlive(HttpResponse response) {
+        closeAfter = !HttpUtil.isKeepAlive(response) || !hasBodyFraming(response);
         String line = response.headers().get("Keep-Alive");
         int at = line == null ? -1 : line.indexOf("timeout=");
         if (at < 0) {
@@ -208,22 +208,22 @@
             end++;
         }
         if (end > from && end - from < 7) {
-            idleMillis = 1000L * Integer.parseInt(line.substring(from, end));
+            idleTimeoutMillis = 1000L * Integer.parseInt(line.substring(from, end));
         }
     }
 
-    private static boolean framed(HttpMessage message) {
+    private static boolean hasBodyFraming(HttpMessage message) {
         return HttpUtil.isTransferEncodingChunked(message)
                 || message.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
     }
 
     private void fail(AttemptEnd end, String why) {
         broken = true;
-        AttemptListener listener = attempt;
-        attempt = null;
+        AttemptListener listener = activeListener;
+        activeListener = null;
         channel.close();
         if (listener != null) {
-            listener.failed(end, why);
+            listener.attemptFailed(end, why);
         }
     }
 
@@ -234,7 +234,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        pool.closed(this);
+        pool.connectionClosed(this);
         fail(AttemptEnd.BROKEN, "connection closed");
     }
 
@@ -243,7 +243,7 @@
         private boolean headOnly;
 
         AnswerDecoder() {
-            super(INITIAL_LINE, HEADERS, CHUNK);
+            super(MAX_INITIAL_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES);
         }
 
         void expect(HttpMethod method) {
@@ -259,16 +259,16 @@
     /** Takes an answer that nobody waits for. */
     private record Discarding(Runnable broken) implements AttemptListener {
         @Override
-        public void head(HttpResponse response, AnswerTerms terms) {}
+        public void responseHead(HttpResponse response, AnswerTerms terms) {}
 
         @Override
-        public void body(ByteBuf bytes) {}
+        public void responseBody(ByteBuf bytes) {}
 
         @Override
-        public void ended() {}
+        public void responseCompleted() {}
 
         @Override
-        public void failed(AttemptEnd end, String why) {
+        public void attemptFailed(AttemptEnd end, String why) {
             broken.run();
         }
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendPool.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendPool.java
@@ -22,19 +22,19 @@
 /** Connections to backend servers, kept by the life of a server, since an address may be used again by another one. */
 final class BackendPool {
     /** A lost opening packet is sent again after a second: another server is the better choice by then. */
-    private static final int CONNECT_MILLIS = 600;
+    private static final int CONNECT_TIMEOUT_MILLIS = 600;
     /** Keep-alive probes: a peer that lost power or fell silent shows after about three seconds. */
-    private static final int PROBE_SECONDS = 1;
+    private static final int KEEP_ALIVE_PROBE_SECONDS = 1;
 
-    private static final int PROBES = 2;
+    private static final int KEEP_ALIVE_PROBES = 2;
     /** Idle connections beyond this time are closed, whatever the server allows, in milliseconds. */
-    private static final long LONGEST_IDLE_MILLIS = 30_000;
+    private static final long MAX_IDLE_MILLIS = 30_000;
 
     private final EventLoopGroup loop;
     private final Dialect dialect;
     private final LongSupplier clock;
     private final Consumer<String> counter;
-    private final AnswerHearer hearer;
+    private final AnswerHearer responseListener;
     private final Map<String, Deque<BackendConnection>> idle = new HashMap<>();
     private final Map<String, Set<BackendConnection>> all = new HashMap<>();
 
@@ -44,23 +44,23 @@
         this.dialect = dialect;
         this.clock = clock;
         this.counter = counter;
-        this.hearer = hearer;
+        this.responseListener = hearer;
     }
 
     /** Hears what each answer says of its server, whoever the answer is for. */
     interface AnswerHearer {
-        void heard(ServerInstance server, int status, AnswerTerms terms);
+        void responseReceived(ServerInstance server, int status, AnswerTerms terms);
     }
 
-    void heard(ServerInstance server, int status, AnswerTerms terms) {
-        hearer.heard(server, status, terms);
+    void responseReceived(ServerInstance server, int status, AnswerTerms terms) {
+        responseListener.responseReceived(server, status, terms);
     }
 
     Dialect dialect() {
         return dialect;
     }
 
-    long now() {
+    long nowMillis() {
         return clock.getAsLong();
     }
 
@@ -73,15 +73,15 @@
      *
      * @param mostIdle longest idle time of a connection that is wanted, in milliseconds
      */
-    BackendConnection kept(ServerInstance server, long mostIdle) {
+    BackendConnection pollIdle(ServerInstance server, long mostIdle) {
         Deque<BackendConnection> connections = idle.get(server.instanceId());
         while (connections != null && !connections.isEmpty()) {
             BackendConnection connection = connections.peekLast();
-            if (connection.usable(now(), mostIdle)) {
+            if (connection.reusable(nowMillis(), mostIdle)) {
                 connections.pollLast();
                 return connection;
             }
-            if (connection.channel().isActive() && connection.usable(now(), Long.MAX_VALUE)) {
+            if (connection.channel().isActive() && connection.reusable(nowMillis(), Long.MAX_VALUE)) {
                 return null;
             }
             connections.pollLast();
@@ -97,16 +97,16 @@
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.SO_KEEPALIVE, true)
-                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), PROBE_SECONDS)
-                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), PROBE_SECONDS)
-                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES)
+                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEP_ALIVE_PROBE_SECONDS)
+                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), KEEP_ALIVE_PROBE_SECONDS)
+                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), KEEP_ALIVE_PROBES)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        connection.addTo(channel);
+                        connection.attach(channel);
                     }
                 })
                 .connect(server.address())
@@ -114,7 +114,7 @@
                     if (future.isSuccess()) {
                         done.accept(connection);
                     } else {
-                        closed(connection);
+                        connectionClosed(connection);
                         done.accept(null);
                     }
                 });
@@ -129,7 +129,7 @@
                 .addLast(connection);
     }
 
-    void closed(BackendConnection connection) {
+    void connectionClosed(BackendConnection connection) {
         String life = connection.server().instanceId();
         Deque<BackendConnection> connections = idle.get(life);
         if (connections != null) {
@@ -151,7 +151,7 @@
         for (Deque<BackendConnection> connections : Set.copyOf(idle.values())) {
             for (BackendConnection connection : Set.copyOf(connections)) {
                 boolean leaving = !connection.server().available() || leaves.test(connection.server());
-                if (leaving || !connection.usable(now(), LONGEST_IDLE_MILLIS)) {
+                if (leaving || !connection.reusable(nowMillis(), MAX_IDLE_MILLIS)) {
                     connections.remove(connection);
                     connection.channel().close();
                 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/CallerConnection.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/CallerConnection.java
@@ -34,11 +34,11 @@
 /** A caller's connection: reads one request after the other and writes their answers. */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
     /** Objects of further requests that are kept while one is in progress; reading stops beyond. */
-    private static final int MOST_PIPELINED = 64;
+    private static final int MAX_PIPELINED = 64;
     /** How long a caller may take to close after an answer that ends its connection, in milliseconds. */
     private static final long LINGER_MILLIS = 1_000;
     /** Bytes of the frame of a chunk at the most: its length in hexadecimal digits and two line breaks. */
-    private static final int CHUNK_FRAME = 12;
+    private static final int CHUNK_FRAME_BYTES = 12;
 
     private static final int CRLF = '\r' << 8 | '\n';
 
@@ -49,11 +49,11 @@
     private boolean chunked;
     private HttpRequest head;
     private ByteBuf body;
-    private long headAt;
+    private long headAtMillis;
     private RelayExchange exchange;
     private boolean keepAlive = true;
     private boolean closing;
-    private long idleSince;
+    private long idleSinceMillis;
 
     CallerConnection(Gateway gateway) {
         this.gateway = gateway;
@@ -67,8 +67,8 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        idleSince = gateway.now();
-        gateway.opened(this);
+        idleSinceMillis = gateway.nowMillis();
+        gateway.callerConnected(this);
     }
 
     @Override
@@ -79,7 +79,7 @@
         }
         if (exchange != null || !pipelined.isEmpty()) {
             pipelined.add(object);
-            if (pipelined.size() > MOST_PIPELINED) {
+            if (pipelined.size() > MAX_PIPELINED) {
                 channel.config().setAutoRead(false);
             }
             return;
@@ -90,32 +90,32 @@
     private void read(HttpObject object) {
         try {
             if (object.decoderResult().isFailure()) {
-                malformed(object.decoderResult().cause());
+                refuseMalformed(object.decoderResult().cause());
                 return;
             }
             if (object instanceof HttpRequest request) {
-                begin(request);
+                beginRequest(request);
             }
             if (object instanceof HttpContent content && head != null) {
-                take(content);
+                readBody(content);
             }
         } finally {
             ReferenceCountUtil.release(object);
         }
     }
 
-    private void malformed(Throwable cause) {
+    private void refuseMalformed(Throwable cause) {
         boolean tooLong = cause instanceof TooLongHttpHeaderException;
         keepAlive = false;
-        turnAway(Refusal.of(tooLong ? 431 : 400, tooLong ? ResultCode.HEADER_TOO_LONG : ResultCode.MALFORMED_BODY));
+        refuseUnread(Refusal.of(tooLong ? 431 : 400, tooLong ? ResultCode.HEADER_TOO_LONG : ResultCode.MALFORMED_BODY));
     }
 
-    private void begin(HttpRequest request) {
-        headAt = gateway.now();
+    private void beginRequest(HttpRequest request) {
+        headAtMillis = gateway.nowMillis();
         keepAlive = HttpUtil.isKeepAlive(request);
         if (ambiguous(request)) {
             keepAlive = false;
-            turnAway(Refusal.of(400, ResultCode.MALFORMED_BODY));
+            refuseUnread(Refusal.of(400, ResultCode.MALFORMED_BODY));
             return;
         }
         head = request;
@@ -140,12 +140,12 @@
                 || !request.uri().startsWith("/");
     }
 
-    private void take(HttpContent content) {
+    private void readBody(HttpContent content) {
         CallerLimits limits = gateway.limits();
         if (body.readableBytes() + content.content().readableBytes() > limits.maxBodyBytes()) {
-            release();
+            releaseRequest();
             keepAlive = false;
-            turnAway(Refusal.of(413, ResultCode.BODY_TOO_LARGE));
+            refuseUnread(Refusal.of(413, ResultCode.BODY_TOO_LARGE));
             return;
         }
         body.writeBytes(content.content());
@@ -154,7 +154,7 @@
             ByteBuf whole = body;
             head = null;
             body = null;
-            exchange = RelayExchange.of(gateway, this, request, whole, headAt);
+            exchange = RelayExchange.of(gateway, this, request, whole, headAtMillis);
             exchange.start();
         }
     }
@@ -166,7 +166,7 @@
 
     /** Writes the head of an answer whose body follows in pieces. */
     void writeHead(HttpResponse response) {
-        frame(response);
+        setConnectionHeader(response);
         chunked = HttpUtil.isTransferEncodingChunked(response);
         channel.write(response);
     }
@@ -177,14 +177,14 @@
      * <p>A piece of a chunked body is framed here and goes past the codec, which would make three buffers of it and a
      * gathering write: with some twenty events a stream that is a quarter of a gateway's processor time.
      */
-    void writePiece(ByteBuf bytes) {
+    void writeChunk(ByteBuf bytes) {
         if (!chunked) {
             channel.writeAndFlush(new DefaultHttpContent(bytes));
             return;
         }
         int length = bytes.readableBytes();
         if (length > 0) {
-            ByteBuf chunk = channel.alloc().ioBuffer(length + CHUNK_FRAME);
+            ByteBuf chunk = channel.alloc().ioBuffer(length + CHUNK_FRAME_BYTES);
             chunk.writeCharSequence(Integer.toHexString(length), StandardCharsets.US_ASCII);
             ByteBufUtil.writeShortBE(chunk, CRLF);
             chunk.writeBytes(bytes);
@@ -195,20 +195,20 @@
     }
 
     /** Ends an answer that was written in pieces. */
-    void writeEnd() {
+    void endResponse() {
         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-        finished();
+        responseFinished();
     }
 
     /** Writes a whole answer. */
-    void writeWhole(FullHttpResponse response) {
-        frame(response);
+    void writeResponse(FullHttpResponse response) {
+        setConnectionHeader(response);
         channel.writeAndFlush(response);
-        finished();
+        responseFinished();
     }
 
     /** Ends the connection in the midst of an answer, so that it can't be taken for whole. */
-    void cut() {
+    void abortResponse() {
         exchange = null;
         closing = true;
         channel.config().setOption(io.netty.channel.ChannelOption.SO_LINGER, 0);
@@ -216,8 +216,8 @@
     }
 
     /** Answers a request that wasn't read whole, so that there is no exchange to tell of it. */
-    private void turnAway(Refusal refusal) {
-        RequestTrail.of(gateway, "", gateway.now()).refused(refusal);
+    private void refuseUnread(Refusal refusal) {
+        RequestTrail.of(gateway, "", gateway.nowMillis()).refused(refusal);
         refuse(refusal);
     }
 
@@ -233,14 +233,14 @@
         if (refusal.retryAfterMillis() > 0) {
             response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds(refusal.retryAfterMillis()));
         }
-        writeWhole(response);
+        writeResponse(response);
     }
 
     private static String seconds(long millis) {
         return millis / 1000 + "." + String.format("%03d", millis % 1000);
     }
 
-    private void frame(HttpResponse response) {
+    private void setConnectionHeader(HttpResponse response) {
         if (gateway.draining()) {
             keepAlive = false;
         }
@@ -249,11 +249,11 @@
         }
     }
 
-    private void finished() {
+    private void responseFinished() {
         exchange = null;
-        idleSince = gateway.now();
+        idleSinceMillis = gateway.nowMillis();
         if (!keepAlive || gateway.draining()) {
-            closeGently();
+            closeGracefully();
             return;
         }
         while (exchange == null && !closing && !pipelined.isEmpty()) {
@@ -268,7 +268,7 @@
      * Closes after what was written has gone out. Closing with unread bytes would reset the connection, and with it an
      * answer that is still under way; so the caller is given time to close first.
      */
-    private void closeGently() {
+    private void closeGracefully() {
         closing = true;
         dropPipelined();
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener((ChannelFutureListener) future -> {
@@ -280,7 +280,7 @@
     /** Closes the connection if nothing is in progress on it, for a planned stop. */
     void closeIfIdle() {
         if (!closing && exchange == null && head == null) {
-            closeGently();
+            closeGracefully();
         }
     }
 
@@ -290,19 +290,19 @@
         if (closing || exchange != null) {
             return;
         }
-        if (head != null && now - headAt > limits.headerTimeoutMillis() + limits.idleTimeoutMillis()) {
-            release();
+        if (head != null && now - headAtMillis > limits.headerTimeoutMillis() + limits.idleTimeoutMillis()) {
+            releaseRequest();
             keepAlive = false;
-            turnAway(Refusal.of(408, ResultCode.CALLER_TOO_SLOW));
-        } else if (head == null && now - idleSince > limits.idleTimeoutMillis() + limits.headerTimeoutMillis()) {
-            closeGently();
+            refuseUnread(Refusal.of(408, ResultCode.CALLER_TOO_SLOW));
+        } else if (head == null && now - idleSinceMillis > limits.idleTimeoutMillis() + limits.headerTimeoutMillis()) {
+            closeGracefully();
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         if (exchange != null) {
-            exchange.callerWritable(channel.isWritable());
+            exchange.callerWritabilityChanged(channel.isWritable());
         }
     }
 
@@ -314,17 +314,17 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         closing = true;
-        gateway.closed(this);
-        release();
+        gateway.callerDisconnected(this);
+        releaseRequest();
         dropPipelined();
         if (exchange != null) {
             RelayExchange left = exchange;
             exchange = null;
-            left.callerGone();
+            left.callerDisconnected();
         }
     }
 
-    private void release() {
+    private void releaseRequest() {
         head = null;
         if (body != null) {
             body.release();
--- a/gateway/src/main/java/org/tanagerhinge/gateway/CallerTerms.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/CallerTerms.java
@@ -13,4 +13,4 @@
  * @param lastEventId the event after which a stream goes on; 0 for its beginning
  */
 public record CallerTerms(
-        String attemptId, OptionalLong patienceMillis, Optional<String> key, Prompt prompt, long lastEventId) {}
+        String attemptId, OptionalLong timeoutMillis, Optional<String> key, Prompt prompt, long lastEventId) {}
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Duties.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Duties.java
@@ -33,11 +33,11 @@
     /** How often it is looked what is due, in milliseconds. */
     private static final long STEP_MILLIS = 150;
     /** A node that has just started serves callers first and looks after duties then, in milliseconds. */
-    private static final long START_MILLIS = 3_000;
+    private static final long START_DELAY_MILLIS = 3_000;
 
-    private static final long TELL_MILLIS = 700;
+    private static final long REPORT_TIMEOUT_MILLIS = 700;
     /** A process that stops looks for a holder to tell its last counts for so long, in milliseconds. */
-    private static final long LAST_WORD_MILLIS = 1_500;
+    private static final long FINAL_REPORT_TIMEOUT_MILLIS = 1_500;
 
     private static final Map<String, String> PROTOBUF =
             Map.of(HttpHeaderNames.CONTENT_TYPE.toString(), "application/x-protobuf");
@@ -49,15 +49,15 @@
     private final GatewayOptions.Duties options;
     private final NodeClock clock;
     private final MedianClock time;
-    private final DutyLog log;
+    private final DutyLog telemetry;
     private final UsageCounter counter;
-    private final UsageReporter teller;
-    private final Map<String, DutyAnnouncement> words = new HashMap<>();
+    private final UsageReporter reporter;
+    private final Map<String, DutyAnnouncement> peerStatuses = new HashMap<>();
     private UsageDuty duty;
-    private JsonCaller caller;
-    private String calling = "";
-    private boolean doorClosed;
-    private long drainedAt = Long.MAX_VALUE;
+    private JsonCaller holderClient;
+    private String holderAddress = "";
+    private boolean intakeClosed;
+    private long drainedAtMillis = Long.MAX_VALUE;
     private volatile boolean settled;
 
     private Duties(
@@ -74,16 +74,16 @@
         this.options = options;
         this.clock = new HostClock(gateway, wallClock);
         this.time = MedianClock.of(clock);
-        this.log = new DutyLog(gateway);
+        this.telemetry = new DutyLog(gateway);
         this.counter = UsageCounter.of(options.terms(), time, peers.incarnation());
-        this.teller = UsageReporter.of(options.terms(), clock, time, ThreadLocalRandom.current(), counter);
+        this.reporter = UsageReporter.of(options.terms(), clock, time, ThreadLocalRandom.current(), counter);
     }
 
     /** The clocks of this host. */
     private record HostClock(Gateway gateway, InstantSource wallClock) implements NodeClock {
         @Override
         public long steadyMillis() {
-            return gateway.now();
+            return gateway.nowMillis();
         }
 
         @Override
@@ -101,37 +101,37 @@
             GatewayOptions.Duties options,
             InstantSource wallClock) {
         Duties duties = new Duties(gateway, loop, peers, port, options, wallClock);
-        gateway.onBegan(duties.counter::recordStart);
-        peers.duties(duties::word, duties::heard);
-        gateway.schedule(() -> gateway.repeat(duties::step, () -> STEP_MILLIS), START_MILLIS);
+        gateway.onExecutionStarted(duties.counter::recordStart);
+        peers.exchangeDutyStatus(duties::status, duties::peerStatusReceived);
+        gateway.schedule(() -> gateway.repeat(duties::step, () -> STEP_MILLIS), START_DELAY_MILLIS);
         return duties;
     }
 
     double coverage() {
-        return log.coverage();
+        return telemetry.coverage();
     }
 
-    private DutyAnnouncement word() {
+    private DutyAnnouncement status() {
         return new DutyAnnouncement(clock.wallClockMillis(), duty == null ? 0 : duty.preference(hostPower()), token());
     }
 
     private int hostPower() {
-        return gateway.draining() || !peers.storeAnswers() ? 0 : options.power();
+        return gateway.draining() || !peers.storeReachable() ? 0 : options.power();
     }
 
     private long token() {
         return duty == null ? 0 : duty.fencingToken();
     }
 
-    private void heard(String peer, DutyAnnouncement word) {
-        words.put(peer, word);
+    private void peerStatusReceived(String peer, DutyAnnouncement word) {
+        peerStatuses.put(peer, word);
         if (word.wallClockMillis() > 0) {
             time.recordPeerTime(peer, word.wallClockMillis());
         }
     }
 
-    private List<DutyPeer> others() {
-        long now = gateway.now();
+    private List<DutyPeer> otherNodes() {
+        long now = gateway.nowMillis();
         List<DutyPeer> others = new ArrayList<>();
         for (PeerTable.Peer peer : peers.table().peers()) {
             String name = peer.report().name();
@@ -139,16 +139,16 @@
                     name,
                     peer.report().incarnation(),
                     PeerTable.present(peer, now),
-                    words.getOrDefault(name, DutyAnnouncement.NONE)));
+                    peerStatuses.getOrDefault(name, DutyAnnouncement.NONE)));
         }
         return others;
     }
 
     private void step() {
-        List<DutyPeer> others = others();
-        if (words.size() > others.size()) {
-            words.keySet().retainAll(others.stream().map(DutyPeer::name).toList());
-            time.retainPeers(words.keySet());
+        List<DutyPeer> others = otherNodes();
+        if (peerStatuses.size() > others.size()) {
+            peerStatuses.keySet().retainAll(others.stream().map(DutyPeer::name).toList());
+            time.retainPeers(peerStatuses.keySet());
         }
         if (duty == null) {
             duty = duty();
@@ -156,23 +156,23 @@
         long before = duty.fencingToken();
         duty.tick(others, hostPower());
         if (duty.fencingToken() != before) {
-            peers.tellNow();
+            peers.reportNow();
         }
         if (gateway.draining()) {
-            lastWord(others);
+            checkFinalReport(others);
         }
-        tell(others);
+        reportToHolder(others);
     }
 
     private UsageDuty duty() {
         DutySettings terms = options.terms();
         RandomGenerator random = ThreadLocalRandom.current();
-        return UsageDuty.of(terms, clock, time, port, random, log, counter, peers.incarnation());
+        return UsageDuty.of(terms, clock, time, port, random, telemetry, counter, peers.incarnation());
     }
 
     // ---- telling the holder
 
-    private void tell(List<DutyPeer> others) {
+    private void reportToHolder(List<DutyPeer> others) {
         if (token() > 0) {
             return;
         }
@@ -180,47 +180,47 @@
         if (holder.isEmpty()) {
             return;
         }
-        long counted = teller.startedRequests();
-        teller.pollReport(holder.get(), others.size() + 1, done())
-                .ifPresent(report -> send(holder.get(), report, counted));
+        long counted = reporter.startedRequests();
+        reporter.pollReport(holder.get(), others.size() + 1, countingFinished())
+                .ifPresent(report -> sendReport(holder.get(), report, counted));
     }
 
-    private void send(DutyPeer holder, UsageReport report, long counted) {
+    private void sendReport(DutyPeer holder, UsageReport report, long counted) {
         Optional<String> address = peers.table().peers().stream()
                 .filter(peer -> peer.report().name().equals(holder.name()))
                 .map(peer -> peer.report().address())
                 .findFirst();
-        if (address.isEmpty() || !callerOf(address.get())) {
-            teller.failed();
+        if (address.isEmpty() || !connectTo(address.get())) {
+            reporter.failed();
             return;
         }
         byte[] body = UsageCodec.reports(List.of(report));
-        caller.call(HttpMethod.POST, PeerDoor.USAGE, PROTOBUF, body, TELL_MILLIS, answer -> {
+        holderClient.call(HttpMethod.POST, PeerDoor.USAGE_PATH, PROTOBUF, body, REPORT_TIMEOUT_MILLIS, answer -> {
             if (answer.status() != 200) {
                 gateway.count("usage_not_told");
-                teller.failed();
+                reporter.failed();
                 return;
             }
             try {
                 long fixedThrough = UsageCodec.fixedThrough(answer.body());
-                teller.acknowledged(holder.announcement().fencingToken(), report, counted, fixedThrough);
+                reporter.acknowledged(holder.announcement().fencingToken(), report, counted, fixedThrough);
             } catch (InvalidProtocolBufferException e) {
                 LOG.log(Level.ERROR, "answer of peer " + holder.name() + ": " + e.getMessage());
-                teller.failed();
+                reporter.failed();
             }
         });
     }
 
-    private boolean callerOf(String address) {
-        if (calling.equals(address)) {
+    private boolean connectTo(String address) {
+        if (holderAddress.equals(address)) {
             return true;
         }
-        if (caller != null) {
-            caller.close();
+        if (holderClient != null) {
+            holderClient.close();
         }
         try {
-            caller = JsonCaller.to(loop, PeerCodec.address(address));
-            calling = address;
+            holderClient = JsonCaller.of(loop, PeerCodec.address(address));
+            holderAddress = address;
             return true;
         } catch (InvalidProtocolBufferException e) {
             LOG.log(Level.WARNING, "address of a peer: " + e.getMessage());
@@ -229,7 +229,7 @@
     }
 
     /** Takes what peers have counted; returns the answer, or nothing if this node isn't the holder. */
-    Optional<byte[]> told(byte[] body) throws InvalidProtocolBufferException {
+    Optional<byte[]> receiveReports(byte[] body) throws InvalidProtocolBufferException {
         if (duty == null) {
             return Optional.empty();
         }
@@ -247,24 +247,24 @@
         if (duty != null) {
             duty.stop();
         }
-        peers.tellNow();
+        peers.reportNow();
     }
 
     /** No more requests are taken. */
-    void doorClosed() {
-        doorClosed = true;
+    void intakeClosed() {
+        intakeClosed = true;
     }
 
-    private boolean done() {
-        return doorClosed && gateway.inProgress() == 0;
+    private boolean countingFinished() {
+        return intakeClosed && gateway.inFlight() == 0;
     }
 
-    private void lastWord(List<DutyPeer> others) {
-        long now = gateway.now();
-        drainedAt = done() ? Math.min(drainedAt, now) : Long.MAX_VALUE;
+    private void checkFinalReport(List<DutyPeer> others) {
+        long now = gateway.nowMillis();
+        drainedAtMillis = countingFinished() ? Math.min(drainedAtMillis, now) : Long.MAX_VALUE;
         boolean alone = others.stream().noneMatch(DutyPeer::alive);
-        boolean patienceEnds = drainedAt != Long.MAX_VALUE && now - drainedAt >= LAST_WORD_MILLIS;
-        settled = alone || teller.lastReportAcknowledged() || patienceEnds;
+        boolean patienceEnds = drainedAtMillis != Long.MAX_VALUE && now - drainedAtMillis >= FINAL_REPORT_TIMEOUT_MILLIS;
+        settled = alone || reporter.lastReportAcknowledged() || patienceEnds;
     }
 
     /** Returns whether the process may end: the holder has its last counts, or there is none to be found. From any thread. */
--- a/gateway/src/main/java/org/tanagerhinge/gateway/EarlyDoor.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/EarlyDoor.java
@@ -18,7 +18,7 @@
 public final class EarlyDoor {
     private static final int BACKLOG = 1024;
     /** Begins the line with the address. Found without a pattern, whose classes cost 25 ms before the socket is open. */
-    private static final String LISTEN = "listen = ";
+    private static final String LISTEN_KEY = "listen = ";
 
     private EarlyDoor() {}
 
@@ -26,13 +26,13 @@
     public static Optional<ServerSocketChannel> open(Path settings) {
         try {
             String text = Files.readString(settings);
-            int line = text.startsWith(LISTEN) ? 0 : text.indexOf("\n" + LISTEN) + 1;
+            int line = text.startsWith(LISTEN_KEY) ? 0 : text.indexOf("\n" + LISTEN_KEY) + 1;
             int end = text.indexOf('\n', line);
             int colon = text.indexOf(':', line);
-            if (!text.startsWith(LISTEN, line) || colon < 0 || colon > end) {
+            if (!text.startsWith(LISTEN_KEY, line) || colon < 0 || colon > end) {
                 return Optional.empty();
             }
-            String ip = text.substring(line + LISTEN.length(), colon);
+            String ip = text.substring(line + LISTEN_KEY.length(), colon);
             int port = Integer.parseInt(text.substring(colon + 1, end));
             ServerSocketChannel door = ServerSocketChannel.open();
             door.bind(new InetSocketAddress(InetAddress.ofLiteral(ip), port), BACKLOG);
--- a/gateway/src/main/java/org/tanagerhinge/gateway/EndedServers.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/EndedServers.java
@@ -17,18 +17,18 @@
  */
 final class EndedServers {
     /** Requests that are held responsible for one end at the most: as many as a large server runs at once. */
-    private static final int MOST_UNDER = 128;
+    private static final int MAX_SUSPECTS = 128;
     /** Other connections to a server that has ended break within this time of the first one, in milliseconds. */
-    private static final long MOMENT_MILLIS = 1_000;
+    private static final long CRASH_WINDOW_MILLIS = 1_000;
     /** Ended servers that are remembered for that. */
-    private static final int MOST_ENDED = 64;
+    private static final int MAX_CRASHES_REMEMBERED = 64;
 
     private final Gateway gateway;
-    private final Map<String, Set<RequestFingerprint>> asked = new HashMap<>();
-    private final Map<String, Long> endedAt = new LinkedHashMap<>() {
+    private final Map<String, Set<RequestFingerprint>> suspectsByProbe = new HashMap<>();
+    private final Map<String, Long> crashedAtMillis = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-            return size() > MOST_ENDED;
+            return size() > MAX_CRASHES_REMEMBERED;
         }
     };
 
@@ -37,34 +37,34 @@
     }
 
     /** Notes that the connection on which a request was in progress has broken. */
-    void brokeUnder(ServerInstance server, RequestFingerprint request) {
-        if (endedJustNow(server)) {
-            gateway.endedUnder(server, Set.of(request));
+    void connectionBroke(ServerInstance server, RequestFingerprint request) {
+        if (crashedRecently(server)) {
+            gateway.serverCrashed(server, Set.of(request));
             return;
         }
-        Set<RequestFingerprint> under = asked.get(server.instanceId());
+        Set<RequestFingerprint> under = suspectsByProbe.get(server.instanceId());
         if (under != null) {
-            if (under.size() < MOST_UNDER) {
+            if (under.size() < MAX_SUSPECTS) {
                 under.add(request);
             }
             return;
         }
-        asked.put(server.instanceId(), new LinkedHashSet<>(Set.of(request)));
-        gateway.pool().connect(server, fresh -> answered(server, fresh));
+        suspectsByProbe.put(server.instanceId(), new LinkedHashSet<>(Set.of(request)));
+        gateway.pool().connect(server, fresh -> probeCompleted(server, fresh));
     }
 
-    private boolean endedJustNow(ServerInstance server) {
-        Long at = endedAt.get(server.instanceId());
-        return at != null && gateway.now() - at < MOMENT_MILLIS;
+    private boolean crashedRecently(ServerInstance server) {
+        Long at = crashedAtMillis.get(server.instanceId());
+        return at != null && gateway.nowMillis() - at < CRASH_WINDOW_MILLIS;
     }
 
-    private void answered(ServerInstance server, BackendConnection fresh) {
-        Set<RequestFingerprint> under = asked.remove(server.instanceId());
+    private void probeCompleted(ServerInstance server, BackendConnection fresh) {
+        Set<RequestFingerprint> under = suspectsByProbe.remove(server.instanceId());
         if (fresh != null) {
             gateway.pool().idle(fresh);
             return;
         }
-        endedAt.put(server.instanceId(), gateway.now());
-        gateway.endedUnder(server, under);
+        crashedAtMillis.put(server.instanceId(), gateway.nowMillis());
+        gateway.serverCrashed(server, under);
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/EventSplitter.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/EventSplitter.java
@@ -15,11 +15,11 @@
 final class EventSplitter {
     private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
     /** An event that is larger than this is taken for garbage, in bytes. */
-    private static final int LARGEST_EVENT = 1 << 20;
+    private static final int MAX_EVENT_BYTES = 1 << 20;
 
     private final ByteBuf pending;
-    private int searched;
-    private boolean lineEmpty = true;
+    private int scannedBytes;
+    private boolean lineIsEmpty = true;
 
     EventSplitter(ByteBufAllocator allocator) {
         pending = allocator.heapBuffer(256);
@@ -37,32 +37,32 @@
         pending.writeBytes(bytes);
         List<Event> events = new ArrayList<>();
         int start = pending.readerIndex();
-        for (int i = start + searched; i < pending.writerIndex(); i++) {
+        for (int i = start + scannedBytes; i < pending.writerIndex(); i++) {
             byte b = pending.getByte(i);
             if (b == '\n') {
-                if (lineEmpty && i > start) {
+                if (lineIsEmpty && i > start) {
                     int length = i + 1 - pending.readerIndex();
                     long id = idOf(pending.readerIndex(), length);
                     events.add(new Event(id, pending.readBytes(length)));
                 }
-                lineEmpty = true;
+                lineIsEmpty = true;
             } else if (b != '\r') {
-                lineEmpty = false;
+                lineIsEmpty = false;
             }
         }
-        searched = pending.readableBytes();
+        scannedBytes = pending.readableBytes();
         pending.discardSomeReadBytes();
         return events;
     }
 
     /** Returns whether a part of an event is left that has no end yet. */
-    boolean partial() {
+    boolean hasPartialEvent() {
         return pending.isReadable();
     }
 
     /** Returns whether what came is too large to be an event. */
     boolean oversized() {
-        return pending.readableBytes() > LARGEST_EVENT;
+        return pending.readableBytes() > MAX_EVENT_BYTES;
     }
 
     void release() {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
@@ -39,15 +39,15 @@
 /** What one node believes and does, on its event loop thread: the state that all exchanges share. */
 public final class Gateway {
     /** Callers that are refused come back after this time and up to twice it, so that they don't return as one wave. */
-    private static final int COME_BACK_MILLIS = 300;
+    private static final int MIN_RETRY_AFTER_MILLIS = 300;
     /** Idle connections and silent servers are looked through this often, in milliseconds. */
     private static final long SWEEP_MILLIS = 250;
     /** A server that owes events and says nothing for so long gets no new work: twice the longest usual pause. */
-    private static final long SILENT_MILLIS = 500;
+    private static final long SILENT_SERVER_MILLIS = 500;
     /** Streams that can be resumed leave a server that has been silent for so long. */
-    private static final long LEAVE_MILLIS = 900;
+    private static final long ABANDON_STREAM_MILLIS = 900;
     /** If this node itself stood still for longer than this, it can't tell who was silent. */
-    private static final long STOOD_STILL_MILLIS = 2 * SWEEP_MILLIS;
+    private static final long STALL_MILLIS = 2 * SWEEP_MILLIS;
 
     private final EventLoopGroup loop;
     private final Dialect dialect;
@@ -57,23 +57,23 @@
     private final ServerDirectory directory = ServerDirectory.create();
     private final PlacementPolicy placement;
     private final RetryBudget budget;
-    private final RankGate ranks = RankGate.create();
-    private final ServerAnnouncements words = ServerAnnouncements.create();
+    private final RankGate rankGate = RankGate.create();
+    private final ServerAnnouncements serverAnnouncements = ServerAnnouncements.create();
     private final Quarantine quarantine = Quarantine.create();
-    private final EndedServers endedServers = new EndedServers(this);
+    private final EndedServers crashDetector = new EndedServers(this);
     private final Set<CallerConnection> callers = new HashSet<>();
     private final Set<RelayExchange> exchanges = new HashSet<>();
     private Optional<RelayConfig> config = Optional.empty();
     private byte[] configDocument;
-    private boolean peersHeard;
+    private boolean peerLoadAvailable;
     private int peersPresent;
-    private long lastSweep;
+    private long lastSweepMillis;
     private BiConsumer<ServerInstance, Prompt> sentListener = (server, prompt) -> {};
-    private Consumer<RequestFingerprint> heldListener = request -> {};
+    private Consumer<RequestFingerprint> quarantineListener = request -> {};
     private Runnable suspicionListener = () -> {};
-    private Consumer<String> begunListener = workspace -> {};
+    private Consumer<String> executionListener = workspace -> {};
     private volatile boolean draining;
-    private volatile int inProgress;
+    private volatile int inFlight;
 
     private Gateway(
             EventLoopGroup loop,
@@ -86,7 +86,7 @@
         this.options = options;
         this.metrics = metrics;
         this.placement = placement;
-        this.pool = new BackendPool(loop, dialect, this::now, this::count, this::answered);
+        this.pool = new BackendPool(loop, dialect, this::nowMillis, this::count, this::responseReceived);
         GatewayOptions.Bounds bounds = options.bounds();
         this.budget = RetryBudget.of(
                 bounds.retryRatio(), bounds.retrySlack(), bounds.retryWindow().toMillis());
@@ -105,7 +105,7 @@
     }
 
     /** Returns the steady time in milliseconds; it has no relation to the time of day, which may jump. */
-    public long now() {
+    public long nowMillis() {
         return System.nanoTime() / 1_000_000;
     }
 
@@ -129,25 +129,25 @@
         return budget;
     }
 
-    RankGate ranks() {
-        return ranks;
+    RankGate rankGate() {
+        return rankGate;
     }
 
-    ServerAnnouncements words() {
-        return words;
+    ServerAnnouncements serverAnnouncements() {
+        return serverAnnouncements;
     }
 
     /** Takes what a server says of itself in an answer. */
-    private void answered(ServerInstance server, int status, AnswerTerms terms) {
-        long now = now();
-        if (terms.leaving() && words.recordLeaving(server.instanceId(), now)) {
-            tellLeaving(server.id(), "said so in an answer");
+    private void responseReceived(ServerInstance server, int status, AnswerTerms terms) {
+        long now = nowMillis();
+        if (terms.leaving() && serverAnnouncements.recordLeaving(server.instanceId(), now)) {
+            logServerLeaving(server.id(), "said so in an answer");
             count("server_leaving_said");
         }
         if (status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
                 && terms.retryAfterMillis().isPresent()) {
             long millis = terms.retryAfterMillis().getAsLong();
-            words.recordBackoff(server.instanceId(), now + millis);
+            serverAnnouncements.recordBackoff(server.instanceId(), now + millis);
             count("server_wants_nothing");
             LogLine.of(LogEvent.SERVER_WANTS_NOTHING)
                     .with(LogField.SERVER, server.id())
@@ -157,14 +157,14 @@
     }
 
     /** A peer was told by a server that it leaves. */
-    void heardThatLeaves(String life) {
-        if (words.recordPeerReportedLeaving(life, now())) {
-            tellLeaving(life, "told by a peer");
+    void serverLeavingReported(String life) {
+        if (serverAnnouncements.recordPeerReportedLeaving(life, nowMillis())) {
+            logServerLeaving(life, "told by a peer");
             count("server_leaving_heard");
         }
     }
 
-    private static void tellLeaving(String server, String why) {
+    private static void logServerLeaving(String server, String why) {
         LogLine.of(LogEvent.SERVER_LEAVING)
                 .with(LogField.SERVER, server)
                 .with(LogField.WHY, why)
@@ -175,13 +175,13 @@
         return quarantine;
     }
 
-    EndedServers endedServers() {
-        return endedServers;
+    EndedServers crashDetector() {
+        return crashDetector;
     }
 
     /** Tells {@code listener} of each request that this node has found to end servers. */
-    void onHeld(Consumer<RequestFingerprint> listener) {
-        heldListener = listener;
+    void onQuarantine(Consumer<RequestFingerprint> listener) {
+        quarantineListener = listener;
     }
 
     /** Runs {@code listener} whenever there is news of suspected requests. */
@@ -190,40 +190,40 @@
     }
 
     /** Tells {@code listener} the workspace of each request that a server begins. */
-    void onBegan(Consumer<String> listener) {
-        begunListener = listener;
+    void onExecutionStarted(Consumer<String> listener) {
+        executionListener = listener;
     }
 
-    void serverBegan(String workspace) {
-        begunListener.accept(workspace);
+    void executionStarted(String workspace) {
+        executionListener.accept(workspace);
     }
 
     /** A server has ended while requests were in progress there. */
-    void endedUnder(ServerInstance server, Set<RequestFingerprint> requests) {
+    void serverCrashed(ServerInstance server, Set<RequestFingerprint> requests) {
         for (RequestFingerprint request : requests) {
-            if (quarantine.ended(request, server.instanceId(), now())) {
-                tellHeld(request, "servers ended under it, " + server.id() + " the last");
-                heldListener.accept(request);
+            if (quarantine.ended(request, server.instanceId(), nowMillis())) {
+                logQuarantine(request, "servers ended under it, " + server.id() + " the last");
+                quarantineListener.accept(request);
             }
         }
         suspicionListener.run();
     }
 
     /** Takes what a peer tells of a request. */
-    void heard(Quarantine.Suspicion suspicion) {
-        if (quarantine.hear(suspicion, now())) {
-            tellHeld(suspicion.request(), "told by a peer");
+    void suspicionReceived(Quarantine.Suspicion suspicion) {
+        if (quarantine.hear(suspicion, nowMillis())) {
+            logQuarantine(suspicion.request(), "told by a peer");
         }
     }
 
     /** Takes a quarantine from the platform's store. */
-    void held(RequestFingerprint request) {
-        if (quarantine.hold(request, now())) {
-            tellHeld(request, "told by the store");
+    void quarantinedInStore(RequestFingerprint request) {
+        if (quarantine.hold(request, nowMillis())) {
+            logQuarantine(request, "told by the store");
         }
     }
 
-    private void tellHeld(RequestFingerprint request, String why) {
+    private void logQuarantine(RequestFingerprint request, String why) {
         count("request_held");
         LogLine.failure(LogEvent.REQUEST_HELD)
                 .with(LogField.FINGERPRINT, request.toString())
@@ -236,8 +236,8 @@
     }
 
     /** Returns whether a mechanism is in use; an experiment may have switched it off. */
-    boolean uses(Mechanism mechanism) {
-        return !options.off().contains(mechanism);
+    boolean enabled(Mechanism mechanism) {
+        return !options.disabledMechanisms().contains(mechanism);
     }
 
     GatewayOptions options() {
@@ -245,7 +245,7 @@
     }
 
     /** Takes bounds that have changed. */
-    void bounds(GatewayOptions.Bounds newer) {
+    void updateBounds(GatewayOptions.Bounds newer) {
         budget.terms(newer.retryRatio(), newer.retrySlack(), newer.retryWindow().toMillis());
     }
 
@@ -261,7 +261,7 @@
 
     /** Returns how old the list of servers is, in seconds; not a number if there is none. */
     double serversAgeSeconds() {
-        return directory.hasList() ? (now() - directory.newestListMillis()) / 1000.0 : Double.NaN;
+        return directory.hasList() ? (nowMillis() - directory.newestListMillis()) / 1000.0 : Double.NaN;
     }
 
     NodeMetrics metrics() {
@@ -273,12 +273,12 @@
     }
 
     Future<?> schedule(Runnable task, long millis) {
-        return loop.next().schedule(() -> survives(task), millis, TimeUnit.MILLISECONDS);
+        return loop.next().schedule(() -> runGuarded(task), millis, TimeUnit.MILLISECONDS);
     }
 
     /** Runs a step now and again after each pause, also after one that threw. */
     void repeat(Runnable step, LongSupplier pauseMillis) {
-        survives(step);
+        runGuarded(step);
         schedule(() -> repeat(step, pauseMillis), pauseMillis.getAsLong());
     }
 
@@ -286,7 +286,7 @@
      * Runs a task of the event loop, which keeps what it throws to itself; returns whether it threw nothing. What goes wrong
      * without it: a loop ends unseen with the first step that throws, and what it kept up to date stays as it is.
      */
-    boolean survives(Runnable task) {
+    boolean runGuarded(Runnable task) {
         try {
             task.run();
             return true;
@@ -313,7 +313,7 @@
         if (config.isPresent() && config.get().version() >= newer.version()) {
             return false;
         }
-        boolean wasInformed = informed();
+        boolean wasInformed = initialized();
         config = Optional.of(newer);
         configDocument = document;
         LogLine.of(LogEvent.CONFIGURATION)
@@ -322,13 +322,13 @@
                 .with(LogField.RANKS, newer.rankSummary())
                 .write();
         placement.updateMinEventGap(newer.minEventGapMillis());
-        tellWaiting(wasInformed);
+        notifyInitialized(wasInformed);
         return true;
     }
 
     /** Takes a list of registered servers that was asked for at a time; returns whether it changed anything. */
     boolean apply(List<ServerRegistration> registrations, long askedAt) {
-        boolean wasInformed = informed();
+        boolean wasInformed = initialized();
         List<ServerChange> changes = directory.apply(registrations, askedAt);
         for (ServerChange change : changes) {
             LogLine.of(event(change.kind()))
@@ -339,7 +339,7 @@
                 placement.forgetInstance(change.instanceId());
             }
         }
-        tellWaiting(wasInformed);
+        notifyInitialized(wasInformed);
         return !changes.isEmpty();
     }
 
@@ -352,10 +352,10 @@
     }
 
     /** Notes that a peer gave an engine parts of a prompt to read. */
-    void keeps(String life, List<PromptPart> parts) {
+    void promptSentByPeer(String life, List<PromptPart> parts) {
         ServerInstance server = directory.instance(life);
         if (server != null && config.isPresent()) {
-            placement.recordPeerPrefill(server, config.get().service(server.service()), parts, now());
+            placement.recordPeerPrefill(server, config.get().service(server.service()), parts, nowMillis());
         }
     }
 
@@ -364,9 +364,9 @@
         sentListener = listener;
     }
 
-    void sent(PlacementRequest request, PlacementPolicy.Decision placed) {
+    void requestSent(PlacementRequest request, PlacementPolicy.Decision placed) {
         placed.server().recordSent(placed.tokensToPrefill());
-        placement.recordSent(request, placed, now());
+        placement.recordSent(request, placed, nowMillis());
         sentListener.accept(placed.server(), request.prompt());
     }
 
@@ -377,13 +377,13 @@
      */
     List<ServerInstance> candidates(String service, Set<String> tried, long now) {
         List<ServerInstance> open = directory.available(service).stream()
-                .filter(server -> words.acceptsRequests(server.instanceId(), now))
+                .filter(server -> serverAnnouncements.acceptsRequests(server.instanceId(), now))
                 .toList();
         List<ServerInstance> usable = new ArrayList<>();
         List<ServerInstance> untried = new ArrayList<>();
         int sound = 0;
         for (ServerInstance server : open) {
-            boolean fine = !uses(Mechanism.EJECTION) || (server.health().usable(now) && !silent(server, now));
+            boolean fine = !enabled(Mechanism.EJECTION) || (server.health().usable(now) && !silent(server, now));
             sound += fine ? 1 : 0;
             if (!tried.contains(server.id())) {
                 untried.add(server);
@@ -393,8 +393,8 @@
             }
         }
         for (ServerInstance server : untried) {
-            if (uses(Mechanism.EJECTION) && server.health().probeDue(now)) {
-                if (uses(Mechanism.PROBING)) {
+            if (enabled(Mechanism.EJECTION) && server.health().probeDue(now)) {
+                if (enabled(Mechanism.PROBING)) {
                     server.health().recordProbe(now);
                     return List.of(server);
                 }
@@ -405,32 +405,32 @@
     }
 
     private boolean silent(ServerInstance server, long now) {
-        return now - lastSweep < STOOD_STILL_MILLIS && server.silenceMillis(now) > SILENT_MILLIS;
+        return now - lastSweepMillis < STALL_MILLIS && server.silenceMillis(now) > SILENT_SERVER_MILLIS;
     }
 
     void attemptFailed(ServerInstance server, AttemptEnd end) {
         count("attempt_" + end.name().toLowerCase(Locale.ROOT));
-        boolean wasUsable = server.health().usable(now());
+        boolean wasUsable = server.health().usable(nowMillis());
         switch (end) {
-            case NOT_SENT, SILENT -> server.health().recordUnreachable(now());
-            case SERVER_ERROR, BROKEN, CUT -> server.health().recordFailure(now());
+            case NOT_SENT, SILENT -> server.health().recordUnreachable(nowMillis());
+            case SERVER_ERROR, BROKEN, CUT -> server.health().recordFailure(nowMillis());
             case NOT_RUN, WRONG_SERVER -> {}
         }
-        tellHealth(server, wasUsable);
+        logHealthChange(server, wasUsable);
     }
 
-    void answered(ServerInstance server, int status) {
-        boolean wasUsable = server.health().usable(now());
+    void responseReceived(ServerInstance server, int status) {
+        boolean wasUsable = server.health().usable(nowMillis());
         if (status >= 500) {
-            server.health().recordFailure(now());
+            server.health().recordFailure(nowMillis());
         } else {
             server.health().recordSuccess();
         }
-        tellHealth(server, wasUsable);
+        logHealthChange(server, wasUsable);
     }
 
-    private void tellHealth(ServerInstance server, boolean wasUsable) {
-        boolean usable = server.health().usable(now());
+    private void logHealthChange(ServerInstance server, boolean wasUsable) {
+        boolean usable = server.health().usable(nowMillis());
         if (usable != wasUsable) {
             count(usable ? "server_back" : "server_ejected");
             LogLine.of(usable ? LogEvent.SERVER_BACK : LogEvent.SERVER_EJECTED, !usable)
@@ -440,15 +440,15 @@
         }
     }
 
-    void load(ServerInstance server, AnswerTerms.ServerLoad load) {
-        if (!peersHeard) {
+    void loadReported(ServerInstance server, AnswerTerms.ServerLoad load) {
+        if (!peerLoadAvailable) {
             server.updateReportedLoad(load.running(), load.waiting());
         }
     }
 
     /** Notes whether peers tell what they have in progress, which is fresher than what servers tell. */
-    void peersHeard(boolean heard) {
-        peersHeard = heard;
+    void peerLoadAvailable(boolean heard) {
+        peerLoadAvailable = heard;
     }
 
     /** Notes how many peers were heard of late. */
@@ -461,7 +461,7 @@
     }
 
     /** Notes that another incarnation answers at a server's address. */
-    void replaced(ServerInstance server) {
+    void serverReplaced(ServerInstance server) {
         LogLine.of(LogEvent.SERVER_REPLACED)
                 .with(LogField.SERVER, server.id())
                 .with(LogField.SERVICE, server.service())
@@ -471,59 +471,59 @@
     }
 
     /** Returns a number drawn evenly from 0 to 1. */
-    double draw() {
+    double randomFraction() {
         return ThreadLocalRandom.current().nextDouble();
     }
 
     /** Returns how long a caller that is refused should wait, in milliseconds. */
-    long comeBackMillis() {
-        return COME_BACK_MILLIS + ThreadLocalRandom.current().nextInt(COME_BACK_MILLIS);
+    long retryAfterMillis() {
+        return MIN_RETRY_AFTER_MILLIS + ThreadLocalRandom.current().nextInt(MIN_RETRY_AFTER_MILLIS);
     }
 
     /** Returns how long a caller for whom there is no server should wait: until the first one takes requests again. */
-    long comeBackMillis(String service) {
-        long now = now();
+    long retryAfterMillis(String service) {
+        long now = nowMillis();
         long first = directory.available(service).stream()
-                .filter(server -> !words.isLeaving(server.instanceId(), now))
-                .mapToLong(server -> words.backoffMillis(server.instanceId(), now))
+                .filter(server -> !serverAnnouncements.isLeaving(server.instanceId(), now))
+                .mapToLong(server -> serverAnnouncements.backoffMillis(server.instanceId(), now))
                 .min()
                 .orElse(0);
         return first == 0
-                ? comeBackMillis()
-                : first + ThreadLocalRandom.current().nextInt(COME_BACK_MILLIS);
+                ? retryAfterMillis()
+                : first + ThreadLocalRandom.current().nextInt(MIN_RETRY_AFTER_MILLIS);
     }
 
-    void opened(CallerConnection caller) {
+    void callerConnected(CallerConnection caller) {
         callers.add(caller);
     }
 
-    void closed(CallerConnection caller) {
+    void callerDisconnected(CallerConnection caller) {
         callers.remove(caller);
     }
 
-    void began(RelayExchange exchange) {
+    void exchangeStarted(RelayExchange exchange) {
         exchanges.add(exchange);
-        inProgress = exchanges.size();
+        inFlight = exchanges.size();
     }
 
-    void ended(RelayExchange exchange) {
+    void exchangeEnded(RelayExchange exchange) {
         exchanges.remove(exchange);
-        inProgress = exchanges.size();
+        inFlight = exchanges.size();
     }
 
     /** Returns whether this node should be given new connections. */
     boolean ready() {
-        return !draining && informed();
+        return !draining && initialized();
     }
 
     /** Returns whether this node knows a configuration and the servers. */
-    boolean informed() {
+    boolean initialized() {
         return config.isPresent() && directory.hasList();
     }
 
-    private void tellWaiting(boolean wasInformed) {
-        if (!wasInformed && informed()) {
-            Set.copyOf(exchanges).forEach(RelayExchange::informed);
+    private void notifyInitialized(boolean wasInformed) {
+        if (!wasInformed && initialized()) {
+            Set.copyOf(exchanges).forEach(RelayExchange::gatewayInitialized);
         }
     }
 
@@ -537,8 +537,8 @@
     }
 
     /** Returns how many requests are in progress; from any thread. */
-    int inProgress() {
-        return inProgress;
+    int inFlight() {
+        return inFlight;
     }
 
     /** Closes callers' connections on which nothing is in progress. */
@@ -547,22 +547,22 @@
     }
 
     /** Ends what is still in progress, at the bound of a planned stop. */
-    void stopNow() {
-        Set.copyOf(exchanges).forEach(RelayExchange::stopNow);
+    void abortExchanges() {
+        Set.copyOf(exchanges).forEach(RelayExchange::abort);
     }
 
     private void sweep() {
-        long now = now();
-        boolean stoodStill = now - lastSweep > STOOD_STILL_MILLIS;
-        lastSweep = now;
+        long now = nowMillis();
+        boolean stoodStill = now - lastSweepMillis > STALL_MILLIS;
+        lastSweepMillis = now;
         if (stoodStill) {
             directory.all().forEach(server -> server.recordReceived(now));
         } else {
-            Set.copyOf(exchanges).forEach(exchange -> exchange.leaveSilentServer(LEAVE_MILLIS));
+            Set.copyOf(exchanges).forEach(exchange -> exchange.abandonSilentServer(ABANDON_STREAM_MILLIS));
         }
         Set.copyOf(callers).forEach(caller -> caller.sweep(now));
-        pool.sweep(server -> words.isLeaving(server.instanceId(), now));
+        pool.sweep(server -> serverAnnouncements.isLeaving(server.instanceId(), now));
         quarantine.trim(now);
-        words.removeExpired(now);
+        serverAnnouncements.removeExpired(now);
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
@@ -37,15 +37,15 @@
 public final class GatewayDaemon implements Daemon {
     private static final Logger LOG = System.getLogger(GatewayDaemon.class.getName());
     private static final int BACKLOG = 1024;
-    private static final int INITIAL_LINE = 8192;
-    private static final int HEADERS = 32_768;
-    private static final int CHUNK = 16_384;
+    private static final int MAX_INITIAL_LINE_BYTES = 8192;
+    private static final int MAX_HEADER_BYTES = 32_768;
+    private static final int MAX_CHUNK_BYTES = 16_384;
     /** Largest message of a peer, in bytes: the counts of thousands of workspaces. */
-    private static final int PEER_MESSAGE = 1 << 20;
+    private static final int MAX_PEER_MESSAGE_BYTES = 1 << 20;
     /** The platform sends connections until it has missed readiness twice, a second apart; some slack. */
-    private static final Duration UNNOTICED = Duration.ofMillis(2_600);
+    private static final Duration READINESS_DETECTION = Duration.ofMillis(2_600);
     /** What is kept of the time for a planned stop to end what is left, and to exit. */
-    private static final Duration EXIT = Duration.ofMillis(700);
+    private static final Duration EXIT_RESERVE = Duration.ofMillis(700);
 
     private final EventLoopGroup loop;
     private final Gateway gateway;
@@ -53,8 +53,8 @@
     private final GatewayOptions options;
     private volatile Duration stopTimeout;
     private Optional<Duties> duties = Optional.empty();
-    private Channel door;
-    private volatile boolean idleClosed;
+    private Channel callerListener;
+    private volatile boolean intakeClosed;
 
     private GatewayDaemon(EventLoopGroup loop, Gateway gateway, NodeMetrics metrics, GatewayOptions options) {
         this.loop = loop;
@@ -82,21 +82,21 @@
         NodeMetrics metrics = NodeMetrics.create();
         Gateway gateway = Gateway.create(loop, dialect, options, metrics, placement);
         GatewayDaemon daemon = new GatewayDaemon(loop, gateway, metrics, options);
-        daemon.openDoors(early);
+        daemon.openListeners(early);
         MetadataStore client = MeasuredStore.of(store.apply(loop), metrics);
         Peers peers = Peers.open(gateway, loop, document -> decode(client, document));
-        gateway.onSent(peers::sent);
+        gateway.onSent(peers::promptSent);
         daemon.duties = options.duties()
                 .map(terms -> Duties.start(gateway, loop, peers, dutyCalls.apply(loop), terms, InstantSource.system()));
-        daemon.openToPeers();
-        daemon.showBeliefs(peers);
+        daemon.openPeerListener();
+        daemon.registerGauges(peers);
         loop.next().execute(() -> StoreFeed.start(gateway, client, peers));
         return daemon;
     }
 
     /** Shows what this node has in progress and how old its beliefs are, read on the event loop when it is asked for. */
-    private void showBeliefs(Peers peers) {
-        metrics.gauge("requests_in_progress", "Requests of callers in progress", gateway::inProgress);
+    private void registerGauges(Peers peers) {
+        metrics.gauge("requests_in_progress", "Requests of callers in progress", gateway::inFlight);
         metrics.gauge("config_version", "Version of the configuration in force", gateway::configVersion);
         metrics.gauge("servers_age_seconds", "Age of the list of servers", gateway::serversAgeSeconds);
         metrics.gauge("peers_present", "Peers heard of late", gateway::peersPresent);
@@ -108,56 +108,56 @@
 
     private static RelayConfig decode(MetadataStore client, byte[] document) {
         try {
-            return client.decode(document);
+            return client.decodeConfig(document);
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
     }
 
-    private void openDoors(Optional<ServerSocketChannel> early) {
+    private void openListeners(Optional<ServerSocketChannel> early) {
         ChannelHandler status = new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
                 channel.pipeline()
                         .addLast(
                                 new HttpServerCodec(),
-                                new HttpObjectAggregator(HEADERS),
+                                new HttpObjectAggregator(MAX_HEADER_BYTES),
                                 new StatusHandler(gateway, metrics));
             }
         };
-        listen(options.status(), status);
-        options.metrics().ifPresent(address -> tryToListen(address, status));
+        listen(options.statusAddress(), status);
+        options.metricsAddress().ifPresent(address -> tryListen(address, status));
         ChannelHandler callers = new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
                 HttpDecoderConfig limits = new HttpDecoderConfig()
-                        .setMaxInitialLineLength(INITIAL_LINE)
-                        .setMaxHeaderSize(HEADERS)
-                        .setMaxChunkSize(CHUNK);
+                        .setMaxInitialLineLength(MAX_INITIAL_LINE_BYTES)
+                        .setMaxHeaderSize(MAX_HEADER_BYTES)
+                        .setMaxChunkSize(MAX_CHUNK_BYTES);
                 channel.pipeline().addLast(new HttpServerCodec(limits), new CallerConnection(gateway));
             }
         };
-        door = early.map(socket -> takeOver(socket, callers)).orElseGet(() -> listen(options.listen(), callers));
+        callerListener = early.map(socket -> adoptSocket(socket, callers)).orElseGet(() -> listen(options.listenAddress(), callers));
         LogSetup.node(options.name());
         LogLine.of(LogEvent.STARTED)
-                .with(LogField.WHY, "listening on " + options.listen())
+                .with(LogField.WHY, "listening on " + options.listenAddress())
                 .write();
     }
 
-    private void openToPeers() {
-        listen(options.peers(), new ChannelInitializer<Channel>() {
+    private void openPeerListener() {
+        listen(options.peerAddress(), new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
                 channel.pipeline()
                         .addLast(
                                 new HttpServerCodec(),
-                                new HttpObjectAggregator(PEER_MESSAGE),
+                                new HttpObjectAggregator(MAX_PEER_MESSAGE_BYTES),
                                 new PeerDoor(gateway, duties));
             }
         });
     }
 
-    private Channel takeOver(ServerSocketChannel socket, ChannelHandler handler) {
+    private Channel adoptSocket(ServerSocketChannel socket, ChannelHandler handler) {
         return new ServerBootstrap()
                 .group(loop)
                 .channelFactory(() -> new NioServerSocketChannel(socket))
@@ -169,7 +169,7 @@
     }
 
     /** A host on which the port for metrics is taken serves callers all the same. */
-    private void tryToListen(InetSocketAddress address, ChannelHandler handler) {
+    private void tryListen(InetSocketAddress address, ChannelHandler handler) {
         try {
             listen(address, handler);
         } catch (ChannelException e) {
@@ -207,45 +207,45 @@
 
     /** Returns where callers connect. */
     public InetSocketAddress address() {
-        return (InetSocketAddress) door.localAddress();
+        return (InetSocketAddress) callerListener.localAddress();
     }
 
     /** Takes bounds that have changed; addresses and names are those of the start. */
-    public void bounds(GatewayOptions.Bounds newer) {
+    public void updateBounds(GatewayOptions.Bounds newer) {
         stopTimeout = newer.stopTimeout();
-        loop.next().execute(() -> gateway.bounds(newer));
+        loop.next().execute(() -> gateway.updateBounds(newer));
     }
 
     @Override
     public void beginStop() {
         gateway.beginStop();
         duties.ifPresent(held -> loop.next().execute(held::beginStop));
-        loop.next().schedule(this::closeIdle, UNNOTICED.toMillis(), TimeUnit.MILLISECONDS);
+        loop.next().schedule(this::closeIntake, READINESS_DETECTION.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private void closeIdle() {
-        door.close();
+    private void closeIntake() {
+        callerListener.close();
         gateway.closeIdleCallers();
-        duties.ifPresent(Duties::doorClosed);
-        idleClosed = true;
+        duties.ifPresent(Duties::intakeClosed);
+        intakeClosed = true;
     }
 
     @Override
     public boolean drained() {
-        return idleClosed
-                && gateway.inProgress() == 0
+        return intakeClosed
+                && gateway.inFlight() == 0
                 && duties.map(Duties::settled).orElse(true);
     }
 
     @Override
     public Duration stopTimeout() {
-        return stopTimeout.minus(EXIT);
+        return stopTimeout.minus(EXIT_RESERVE);
     }
 
     @Override
     public void close() {
-        loop.next().submit(gateway::stopNow).awaitUninterruptibly(EXIT.toMillis() / 3);
-        loop.next().submit(gateway::closeIdleCallers).awaitUninterruptibly(EXIT.toMillis() / 3);
-        loop.shutdownGracefully(0, EXIT.toMillis() / 3, TimeUnit.MILLISECONDS);
+        loop.next().submit(gateway::abortExchanges).awaitUninterruptibly(EXIT_RESERVE.toMillis() / 3);
+        loop.next().submit(gateway::closeIdleCallers).awaitUninterruptibly(EXIT_RESERVE.toMillis() / 3);
+        loop.shutdownGracefully(0, EXIT_RESERVE.toMillis() / 3, TimeUnit.MILLISECONDS);
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayOptions.java
@@ -22,17 +22,17 @@
 public record GatewayOptions(
         String name,
         String domain,
-        InetSocketAddress listen,
-        InetSocketAddress status,
-        Optional<InetSocketAddress> metrics,
-        InetSocketAddress peers,
+        InetSocketAddress listenAddress,
+        InetSocketAddress statusAddress,
+        Optional<InetSocketAddress> metricsAddress,
+        InetSocketAddress peerAddress,
         Bounds bounds,
         Optional<Duties> duties,
-        Set<Mechanism> off) {
+        Set<Mechanism> disabledMechanisms) {
     /** Returns these options with no budget for repeats: the plain baseline that the product is compared with. */
     public GatewayOptions withoutRetries() {
         Bounds none = new Bounds(bounds.stopTimeout(), 0, 0, bounds.retryWindow());
-        return new GatewayOptions(name, domain, listen, status, metrics, peers, none, duties, off);
+        return new GatewayOptions(name, domain, listenAddress, statusAddress, metricsAddress, peerAddress, none, duties, disabledMechanisms);
     }
 
     /**
--- a/gateway/src/main/java/org/tanagerhinge/gateway/JsonCaller.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/JsonCaller.java
@@ -34,10 +34,10 @@
  * connection with it, so a call without an answer closes the connection and the next one opens another.
  */
 public final class JsonCaller {
-    private static final int CONNECT_MILLIS = 700;
-    private static final int LARGEST_ANSWER = 8 << 20;
+    private static final int CONNECT_TIMEOUT_MILLIS = 700;
+    private static final int MAX_RESPONSE_BYTES = 8 << 20;
     /** Headers of a call with a JSON body. */
-    public static final Map<String, String> JSON = Map.of(HttpHeaderNames.CONTENT_TYPE.toString(), "application/json");
+    public static final Map<String, String> JSON_HEADERS = Map.of(HttpHeaderNames.CONTENT_TYPE.toString(), "application/json");
 
     private final EventLoopGroup loop;
     private final InetSocketAddress address;
@@ -51,7 +51,7 @@
     }
 
     /** Returns a caller that connects with its first call. */
-    public static JsonCaller to(EventLoopGroup loop, InetSocketAddress address) {
+    public static JsonCaller of(EventLoopGroup loop, InetSocketAddress address) {
         return new JsonCaller(loop, address);
     }
 
@@ -98,7 +98,7 @@
     public void call(HttpMethod method, String path, String body, long timeoutMillis, Consumer<Answer> done) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         boolean json = bytes.length > 0 || method.equals(HttpMethod.POST);
-        call(method, path, json ? JSON : Map.of(), bytes, timeoutMillis, done);
+        call(method, path, json ? JSON_HEADERS : Map.of(), bytes, timeoutMillis, done);
     }
 
     /** Calls with headers and a body of any type; otherwise as the call with a JSON body. */
@@ -110,7 +110,7 @@
             long timeoutMillis,
             Consumer<Answer> done) {
         Call call = new Call(method, path, headers, body, done);
-        call.timer = loop.next().schedule(() -> expired(call), timeoutMillis, TimeUnit.MILLISECONDS);
+        call.timer = loop.next().schedule(() -> timedOut(call), timeoutMillis, TimeUnit.MILLISECONDS);
         if (current == null) {
             begin(call);
         } else {
@@ -118,7 +118,7 @@
         }
     }
 
-    private void expired(Call call) {
+    private void timedOut(Call call) {
         if (call == current) {
             fail("no answer in time");
         } else if (queued.remove(call)) {
@@ -135,7 +135,7 @@
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
@@ -143,7 +143,7 @@
                         created.pipeline()
                                 .addLast(
                                         new HttpClientCodec(),
-                                        new HttpObjectAggregator(LARGEST_ANSWER),
+                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
                                         new AnswerHandler());
                     }
                 })
@@ -161,7 +161,7 @@
     }
 
     /** Closes the connection that is kept, unless a call is in progress on it: the next call opens another one. */
-    public void renew() {
+    public void closeIdleConnection() {
         if (current == null && channel != null) {
             channel.close();
             channel = null;
--- a/gateway/src/main/java/org/tanagerhinge/gateway/MeasuredStore.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/MeasuredStore.java
@@ -32,47 +32,47 @@
     }
 
     @Override
-    public void servers(long timeoutMillis, Consumer<Reply<Listing>> done) {
-        store.servers(timeoutMillis, timed("servers", done));
+    public void listServers(long timeoutMillis, Consumer<Reply<Listing>> done) {
+        store.listServers(timeoutMillis, timed("servers", done));
     }
 
     @Override
-    public void config(long timeoutMillis, Consumer<Reply<StoredConfig>> done) {
-        store.config(timeoutMillis, timed("config", done));
+    public void readConfig(long timeoutMillis, Consumer<Reply<StoredConfig>> done) {
+        store.readConfig(timeoutMillis, timed("config", done));
     }
 
     @Override
-    public void configAfter(long revision, long waitMillis, Consumer<Reply<StoredConfig>> done) {
-        store.configAfter(revision, waitMillis, timed("config_watch", done));
+    public void watchConfig(long revision, long waitMillis, Consumer<Reply<StoredConfig>> done) {
+        store.watchConfig(revision, waitMillis, timed("config_watch", done));
     }
 
     @Override
-    public RelayConfig decode(byte[] document) throws IOException {
-        return store.decode(document);
+    public RelayConfig decodeConfig(byte[] document) throws IOException {
+        return store.decodeConfig(document);
     }
 
     @Override
-    public void join(String name, String address, Duration lease, Consumer<Reply<Long>> done) {
-        store.join(name, address, lease, timed("join", done));
+    public void registerGateway(String name, String address, Duration lease, Consumer<Reply<Long>> done) {
+        store.registerGateway(name, address, lease, timed("join", done));
     }
 
     @Override
-    public void keep(long lease, Consumer<Reply<Boolean>> done) {
-        store.keep(lease, timed("keep", done));
+    public void keepAlive(long lease, Consumer<Reply<Boolean>> done) {
+        store.keepAlive(lease, timed("keep", done));
     }
 
     @Override
-    public void gateways(Consumer<Reply<List<String>>> done) {
-        store.gateways(timed("gateways", done));
+    public void listGateways(Consumer<Reply<List<String>>> done) {
+        store.listGateways(timed("gateways", done));
     }
 
     @Override
-    public void hold(RequestFingerprint request, Duration time, Consumer<Reply<Long>> done) {
-        store.hold(request, time, timed("hold", done));
+    public void quarantine(RequestFingerprint request, Duration time, Consumer<Reply<Long>> done) {
+        store.quarantine(request, time, timed("hold", done));
     }
 
     @Override
-    public void held(Consumer<Reply<List<RequestFingerprint>>> done) {
-        store.held(timed("held", done));
+    public void listQuarantined(Consumer<Reply<List<RequestFingerprint>>> done) {
+        store.listQuarantined(timed("held", done));
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/MetadataStore.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/MetadataStore.java
@@ -11,10 +11,10 @@
 /** The calls to the platform's store that a gateway makes; callbacks come on the event loop. */
 public interface MetadataStore {
     /** Reads the servers' registrations; fails if a page has no answer within a time in milliseconds. */
-    void servers(long timeoutMillis, Consumer<Reply<Listing>> done);
+    void listServers(long timeoutMillis, Consumer<Reply<Listing>> done);
 
     /** Reads the newest configuration; fails if there is no answer within a time in milliseconds. */
-    void config(long timeoutMillis, Consumer<Reply<StoredConfig>> done);
+    void readConfig(long timeoutMillis, Consumer<Reply<StoredConfig>> done);
 
     /**
      * Waits for a configuration that is newer than a revision of the store.
@@ -22,10 +22,10 @@
      * @param waitMillis how long the store may wait for one
      * @param done gets the newest configuration, or one without content if there is none
      */
-    void configAfter(long revision, long waitMillis, Consumer<Reply<StoredConfig>> done);
+    void watchConfig(long revision, long waitMillis, Consumer<Reply<StoredConfig>> done);
 
     /** Reads a configuration document. */
-    RelayConfig decode(byte[] document) throws IOException;
+    RelayConfig decodeConfig(byte[] document) throws IOException;
 
     /**
      * Tells the other gateways where this one answers, for as long as a lease is kept.
@@ -33,19 +33,19 @@
      * @param address IP:PORT
      * @param done gets the lease
      */
-    void join(String name, String address, Duration lease, Consumer<Reply<Long>> done);
+    void registerGateway(String name, String address, Duration lease, Consumer<Reply<Long>> done);
 
     /** Keeps a lease; {@code done} gets whether it still holds. */
-    void keep(long lease, Consumer<Reply<Boolean>> done);
+    void keepAlive(long lease, Consumer<Reply<Boolean>> done);
 
     /** Reads where the gateways answer each other, IP:PORT each. */
-    void gateways(Consumer<Reply<List<String>>> done);
+    void listGateways(Consumer<Reply<List<String>>> done);
 
     /** Keeps a request in quarantine for a time, also for gateways that start later. */
-    void hold(RequestFingerprint request, Duration time, Consumer<Reply<Long>> done);
+    void quarantine(RequestFingerprint request, Duration time, Consumer<Reply<Long>> done);
 
     /** Reads which requests are in quarantine. */
-    void held(Consumer<Reply<List<RequestFingerprint>>> done);
+    void listQuarantined(Consumer<Reply<List<RequestFingerprint>>> done);
 
     /**
      * The servers' registrations as the store holds them.
@@ -55,7 +55,7 @@
     record Listing(List<ServerRegistration> servers, List<UnreadableEntry> unreadable) {}
 
     /** A key of the store under which there is no registration, and what is wrong with what stands there. */
-    record UnreadableEntry(String key, String why) {}
+    record UnreadableEntry(String key, String reason) {}
 
     /**
      * A configuration as the store holds it.
@@ -88,7 +88,7 @@
     }
 
     /** The call failed; whether it was carried out is not known. */
-    record Failure<T>(String why) implements Reply<T> {
+    record Failure<T>(String reason) implements Reply<T> {
         @Override
         public String result() {
             return "failed";
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
@@ -29,7 +29,7 @@
     private PeerCodec() {}
 
     /** Parts of prompts that a node gave a backend server to read. */
-    record Kept(String server, List<PromptPart> parts) {}
+    record Kept(String instanceId, List<PromptPart> parts) {}
 
     /**
      * A report with what isn't told in each of them.
@@ -41,10 +41,10 @@
      */
     record Told(
             PeerReport report,
-            List<Kept> kept,
+            List<Kept> cachedPrefixes,
             List<Quarantine.Suspicion> suspicions,
-            List<String> leaving,
-            DutyAnnouncement duty) {}
+            List<String> leavingInstances,
+            DutyAnnouncement dutyStatus) {}
 
     /** A server list with its age in milliseconds. */
     record Servers(List<ServerRegistration> list, long ageMillis) {}
@@ -72,18 +72,18 @@
                         .setShortRunning(demand.shortInFlight())
                         .setShortTokens(demand.shortTokensPerSecond())
                         .setLongTokens(demand.longTokensPerSecond())));
-        for (Kept kept : told.kept()) {
-            KeptParts.Builder parts = KeptParts.newBuilder().setServer(kept.server());
+        for (Kept kept : told.cachedPrefixes()) {
+            KeptParts.Builder parts = KeptParts.newBuilder().setServer(kept.instanceId());
             kept.parts()
                     .forEach(part ->
                             parts.addParts(Part.newBuilder().setId(part.id()).setTokens(part.tokens())));
             state.addKept(parts);
         }
-        told.suspicions().forEach(suspicion -> state.addSuspected(suspected(suspicion)));
-        state.addAllLeaving(told.leaving());
-        state.setTimeOfDayMillis(told.duty().wallClockMillis())
-                .setPower(told.duty().preference())
-                .setUsageToken(told.duty().fencingToken());
+        told.suspicions().forEach(suspicion -> state.addSuspected(encodeSuspicion(suspicion)));
+        state.addAllLeaving(told.leavingInstances());
+        state.setTimeOfDayMillis(told.dutyStatus().wallClockMillis())
+                .setPower(told.dutyStatus().preference())
+                .setUsageToken(told.dutyStatus().fencingToken());
         return state.build().toByteArray();
     }
 
@@ -120,13 +120,13 @@
                 uses,
                 demands);
         List<Quarantine.Suspicion> suspicions =
-                state.getSuspectedList().stream().map(PeerCodec::suspicion).toList();
+                state.getSuspectedList().stream().map(PeerCodec::decodeSuspicion).toList();
         DutyAnnouncement duty =
                 new DutyAnnouncement(state.getTimeOfDayMillis(), state.getPower(), state.getUsageToken());
         return new Told(report, kept, suspicions, List.copyOf(state.getLeavingList()), duty);
     }
 
-    private static SuspectedRequest suspected(Quarantine.Suspicion suspicion) {
+    private static SuspectedRequest encodeSuspicion(Quarantine.Suspicion suspicion) {
         SuspectedRequest.Builder suspected = SuspectedRequest.newBuilder()
                 .setWorkspace(suspicion.request().workspace())
                 .setContent(suspicion.request().content())
@@ -139,7 +139,7 @@
         return suspected.build();
     }
 
-    private static Quarantine.Suspicion suspicion(SuspectedRequest suspected) {
+    private static Quarantine.Suspicion decodeSuspicion(SuspectedRequest suspected) {
         return new Quarantine.Suspicion(
                 new RequestFingerprint(suspected.getWorkspace(), suspected.getContent()),
                 suspected.getEndsList().stream()
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerDoor.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerDoor.java
@@ -16,9 +16,9 @@
 
 /** Answers peers that are behind with this gateway's configuration and server list, and hears what they have counted. */
 final class PeerDoor extends SimpleChannelInboundHandler<FullHttpRequest> {
-    static final String CONFIG = "/configuration";
-    static final String SERVERS = "/servers";
-    static final String USAGE = "/usage-counts";
+    static final String CONFIG_PATH = "/configuration";
+    static final String SERVERS_PATH = "/servers";
+    static final String USAGE_PATH = "/usage-counts";
 
     private final Gateway gateway;
 
@@ -32,9 +32,9 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
         Optional<byte[]> body = switch (request.uri()) {
-            case CONFIG -> gateway.configDocument();
-            case SERVERS -> Optional.of(servers());
-            case USAGE -> usage(request);
+            case CONFIG_PATH -> gateway.configDocument();
+            case SERVERS_PATH -> Optional.of(servers());
+            case USAGE_PATH -> receiveUsage(request);
             default -> Optional.empty();
         };
         FullHttpResponse response = new DefaultFullHttpResponse(
@@ -46,10 +46,10 @@
         context.writeAndFlush(response);
     }
 
-    private Optional<byte[]> usage(FullHttpRequest request) {
+    private Optional<byte[]> receiveUsage(FullHttpRequest request) {
         byte[] body = ByteBufUtil.getBytes(request.content());
         try {
-            return duties.isPresent() ? duties.get().told(body) : Optional.empty();
+            return duties.isPresent() ? duties.get().receiveReports(body) : Optional.empty();
         } catch (InvalidProtocolBufferException e) {
             gateway.count("peer_report_unreadable");
             return Optional.empty();
@@ -62,7 +62,7 @@
                         .map(ServerInstance::registration)
                         .toList(),
                 gateway.directory().hasList()
-                        ? gateway.now() - gateway.directory().newestListMillis()
+                        ? gateway.nowMillis() - gateway.directory().newestListMillis()
                         : Integer.MAX_VALUE));
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Peers.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Peers.java
@@ -45,11 +45,11 @@
  */
 final class Peers {
     private static final Logger LOG = System.getLogger(Peers.class.getName());
-    private static final long ASK_MILLIS = 700;
+    private static final long REQUEST_TIMEOUT_MILLIS = 700;
     /** Connections to a server that has ended break within this time, in milliseconds. */
-    private static final long GATHER_MILLIS = 20;
+    private static final long BATCH_DELAY_MILLIS = 20;
     /** A list that is this much newer than this gateway's own is worth asking for, in milliseconds. */
-    private static final long NEWER_MILLIS = 50;
+    private static final long MIN_AGE_GAIN_MILLIS = 50;
 
     private final Gateway gateway;
     private final EventLoopGroup loop;
@@ -58,21 +58,21 @@
     private final Function<byte[], RelayConfig> decoder;
     private final long incarnation = Incarnation.next();
     private final Set<InetSocketAddress> addresses = new HashSet<>();
-    private final List<PeerCodec.Kept> kept = new ArrayList<>();
-    private Set<String> present = Set.of();
-    private BooleanSupplier storeAnswers = () -> true;
-    private Runnable behindListener = () -> {};
-    private Supplier<DutyAnnouncement> dutyWord = () -> DutyAnnouncement.NONE;
+    private final List<PeerCodec.Kept> pendingPrefixes = new ArrayList<>();
+    private Set<String> presentPeers = Set.of();
+    private BooleanSupplier storeReachable = () -> true;
+    private Runnable configFetchFailureListener = () -> {};
+    private Supplier<DutyAnnouncement> dutyStatus = () -> DutyAnnouncement.NONE;
     private BiConsumer<String, DutyAnnouncement> dutyListener = (peer, word) -> {};
     private long sequence;
-    private long tokensSince;
-    private long toldAt;
+    private long tokensSinceReport;
+    private long reportedAtMillis;
     private Channel channel;
-    private boolean askingConfig;
-    private long toldBehind;
-    private int turn;
-    private boolean tellingSoon;
-    private boolean askingServers;
+    private boolean configRequestInFlight;
+    private long loggedConfigVersion;
+    private int fullReportTurn;
+    private boolean reportScheduled;
+    private boolean serversRequestInFlight;
 
     private Peers(Gateway gateway, EventLoopGroup loop, Function<byte[], RelayConfig> decoder) {
         this.gateway = gateway;
@@ -89,11 +89,11 @@
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .handler(peers.new ReportHandler())
-                .bind(gateway.options().peers())
+                .bind(gateway.options().peerAddress())
                 .syncUninterruptibly()
                 .channel();
-        gateway.onSuspicion(peers::tellSoon);
-        loop.next().execute(() -> gateway.repeat(peers::report, peers::intervalMillis));
+        gateway.onSuspicion(peers::reportSoon);
+        loop.next().execute(() -> gateway.repeat(peers::reportPeriodically, peers::intervalMillis));
         return peers;
     }
 
@@ -103,26 +103,26 @@
 
     /** Returns where this gateway answers its peers. */
     String address() {
-        return PeerCodec.text(gateway.options().peers());
+        return PeerCodec.text(gateway.options().peerAddress());
     }
 
-    void storeAnswers(BooleanSupplier supplier) {
-        storeAnswers = supplier;
+    void storeReachable(BooleanSupplier supplier) {
+        storeReachable = supplier;
     }
 
     /** Runs {@code listener} whenever a peer that has a newer configuration didn't give it. */
-    void onBehind(Runnable listener) {
-        behindListener = listener;
+    void onConfigFetchFailed(Runnable listener) {
+        configFetchFailureListener = listener;
     }
 
     /** Tells {@code word} of duties with each report, and {@code listener} what each peer tells of them. */
-    void duties(Supplier<DutyAnnouncement> word, BiConsumer<String, DutyAnnouncement> listener) {
-        dutyWord = word;
+    void exchangeDutyStatus(Supplier<DutyAnnouncement> word, BiConsumer<String, DutyAnnouncement> listener) {
+        dutyStatus = word;
         dutyListener = listener;
     }
 
-    boolean storeAnswers() {
-        return storeAnswers.getAsBoolean();
+    boolean storeReachable() {
+        return storeReachable.getAsBoolean();
     }
 
     long incarnation() {
@@ -132,12 +132,12 @@
     /** Takes the addresses at which gateways answer, from the platform's store. */
     void addresses(List<String> texts) {
         for (String text : texts) {
-            add(text);
+            addPeerAddress(text);
         }
-        tellNow();
+        reportNow();
     }
 
-    private void add(String text) {
+    private void addPeerAddress(String text) {
         try {
             if (!text.equals(address())) {
                 addresses.add(PeerCodec.address(text));
@@ -148,19 +148,19 @@
     }
 
     /** Notes that a server was given a request: its prompt's parts are told with the next report. */
-    void sent(ServerInstance server, Prompt prompt) {
-        tellIfDue(prompt.inputTokens());
-        if (kept.size() < ReportSchedule.MAX_PROMPTS_PER_REPORT
+    void promptSent(ServerInstance server, Prompt prompt) {
+        reportIfDue(prompt.inputTokens());
+        if (pendingPrefixes.size() < ReportSchedule.MAX_PROMPTS_PER_REPORT
                 && prompt.parts().size() > 1) {
-            kept.add(new PeerCodec.Kept(server.instanceId(), prompt.sharedParts()));
+            pendingPrefixes.add(new PeerCodec.Kept(server.instanceId(), prompt.sharedParts()));
         }
     }
 
-    private void report() {
-        table.forgetSilent(gateway.now());
-        tellPresence(gateway.now());
-        takeSums();
-        tell(gateway.quarantine().standing(gateway.now()));
+    private void reportPeriodically() {
+        table.forgetSilent(gateway.nowMillis());
+        logPresenceChanges(gateway.nowMillis());
+        refreshTotals();
+        sendReport(gateway.quarantine().standing(gateway.nowMillis()));
     }
 
     /** Returns the time between two reports of a node whose load hardly changes; it grows with the number of peers. */
@@ -168,53 +168,53 @@
         return ReportSchedule.idleIntervalMillis(addresses.size());
     }
 
-    private void tellIfDue(int tokens) {
-        tokensSince += tokens;
-        if (tokensSince >= ReportSchedule.EARLY_REPORT_TOKENS
-                && gateway.now() - toldAt >= ReportSchedule.minIntervalMillis(addresses.size())) {
-            tellNow();
+    private void reportIfDue(int tokens) {
+        tokensSinceReport += tokens;
+        if (tokensSinceReport >= ReportSchedule.EARLY_REPORT_TOKENS
+                && gateway.nowMillis() - reportedAtMillis >= ReportSchedule.minIntervalMillis(addresses.size())) {
+            reportNow();
         }
     }
 
     /** Tells peers of what happens in these moments in one report: a server that ends breaks many connections. */
-    private void tellSoon() {
-        if (!tellingSoon) {
-            tellingSoon = true;
+    private void reportSoon() {
+        if (!reportScheduled) {
+            reportScheduled = true;
             gateway.schedule(
                     () -> {
-                        tellingSoon = false;
-                        tellNow();
+                        reportScheduled = false;
+                        reportNow();
                     },
-                    GATHER_MILLIS);
+                    BATCH_DELAY_MILLIS);
         }
     }
 
     /** Sends this gateway's state to all peers now. */
-    void tellNow() {
-        tell(List.of());
+    void reportNow() {
+        sendReport(List.of());
     }
 
     /**
      * Sends this gateway's state to all peers, and to the one whose turn it is what stands of suspected requests as well: a peer
      * that was cut off hears of it from one of the others soon, however many there are, and no node sends it to all.
      */
-    private void tell(List<Quarantine.Suspicion> standing) {
-        PeerReport state = state();
-        List<Quarantine.Suspicion> news = gateway.quarantine().news(gateway.now());
-        List<String> leaving = gateway.words().nextLeavingReport();
-        byte[] bytes = PeerCodec.state(new PeerCodec.Told(state, List.copyOf(kept), news, leaving, dutyWord.get()));
+    private void sendReport(List<Quarantine.Suspicion> standing) {
+        PeerReport state = currentReport();
+        List<Quarantine.Suspicion> news = gateway.quarantine().news(gateway.nowMillis());
+        List<String> leaving = gateway.serverAnnouncements().nextLeavingReport();
+        byte[] bytes = PeerCodec.state(new PeerCodec.Told(state, List.copyOf(pendingPrefixes), news, leaving, dutyStatus.get()));
         byte[] more = bytes;
         int chosen = -1;
         if (!standing.isEmpty() && !addresses.isEmpty()) {
             List<Quarantine.Suspicion> all = new ArrayList<>(news);
             all.addAll(standing);
-            more = PeerCodec.state(new PeerCodec.Told(state, List.copyOf(kept), all, leaving, dutyWord.get()));
-            turn = (turn + 1) % addresses.size();
-            chosen = turn;
+            more = PeerCodec.state(new PeerCodec.Told(state, List.copyOf(pendingPrefixes), all, leaving, dutyStatus.get()));
+            fullReportTurn = (fullReportTurn + 1) % addresses.size();
+            chosen = fullReportTurn;
         }
-        kept.clear();
-        tokensSince = 0;
-        toldAt = gateway.now();
+        pendingPrefixes.clear();
+        tokensSinceReport = 0;
+        reportedAtMillis = gateway.nowMillis();
         int index = 0;
         for (InetSocketAddress address : addresses) {
             channel.write(new DatagramPacket(Unpooled.wrappedBuffer(index == chosen ? more : bytes), address));
@@ -223,8 +223,8 @@
         channel.flush();
     }
 
-    private PeerReport state() {
-        long now = gateway.now();
+    private PeerReport currentReport() {
+        long now = gateway.nowMillis();
         Map<String, PeerReport.InstanceLoad> uses = new HashMap<>();
         for (ServerInstance server : gateway.directory().all()) {
             if (server.inFlight() > 0) {
@@ -238,7 +238,7 @@
                 incarnation,
                 ++sequence,
                 address(),
-                storeAnswers.getAsBoolean(),
+                storeReachable.getAsBoolean(),
                 gateway.configVersion(),
                 gateway.directory().hasList() ? now - gateway.directory().newestListMillis() : Integer.MAX_VALUE,
                 gateway.directory().digest(),
@@ -247,32 +247,32 @@
                 gateway.placement().localDemands(now));
     }
 
-    private void hear(PeerCodec.Told told) {
+    private void receive(PeerCodec.Told told) {
         PeerReport report = told.report();
-        long now = gateway.now();
+        long now = gateway.nowMillis();
         Map<String, PeerReport.InstanceLoad> before = table.loads(report.name(), now);
         if (!table.accept(report, now)) {
             return;
         }
-        add(report.address());
-        dutyListener.accept(report.name(), told.duty());
+        addPeerAddress(report.address());
+        dutyListener.accept(report.name(), told.dutyStatus());
         gateway.budget().nodes(table.nodeCount());
-        for (PeerCodec.Kept parts : told.kept()) {
-            gateway.keeps(parts.server(), parts.parts());
+        for (PeerCodec.Kept parts : told.cachedPrefixes()) {
+            gateway.promptSentByPeer(parts.instanceId(), parts.parts());
         }
-        told.suspicions().forEach(gateway::heard);
-        told.leaving().forEach(gateway::heardThatLeaves);
-        takeChange(before, report.loads());
+        told.suspicions().forEach(gateway::suspicionReceived);
+        told.leavingInstances().forEach(gateway::serverLeavingReported);
+        applyLoadChange(before, report.loads());
         if (report.configVersion() > gateway.configVersion()) {
-            askConfig(report);
+            requestConfig(report);
         }
         long age = gateway.directory().hasList() ? now - gateway.directory().newestListMillis() : Long.MAX_VALUE;
-        if (report.serverListAgeMillis() + NEWER_MILLIS < age) {
+        if (report.serverListAgeMillis() + MIN_AGE_GAIN_MILLIS < age) {
             if (report.serverListDigest() == gateway.directory().digest()
                     && gateway.directory().hasList()) {
                 gateway.directory().confirmList(now - report.serverListAgeMillis());
             } else {
-                askServers(report);
+                requestServers(report);
             }
         }
     }
@@ -281,19 +281,19 @@
      * Gives placement what one peer's report has changed. Adding up all peers' at each report would cost a node of a large
      * system the square of their number; that is done four times a second, when those that have fallen silent drop out.
      */
-    private void takeChange(Map<String, PeerReport.InstanceLoad> before, Map<String, PeerReport.InstanceLoad> after) {
-        if (!gateway.uses(Mechanism.PEER_LOAD)) {
+    private void applyLoadChange(Map<String, PeerReport.InstanceLoad> before, Map<String, PeerReport.InstanceLoad> after) {
+        if (!gateway.enabled(Mechanism.PEER_LOAD)) {
             return;
         }
-        gateway.peersHeard(true);
+        gateway.peerLoadAvailable(true);
         load.applyChange(before, after);
     }
 
     /** Gives placement what the peers have in progress and what their callers ask. */
-    private void takeSums() {
-        long now = gateway.now();
-        boolean heard = table.anyPresent(now) && gateway.uses(Mechanism.PEER_LOAD);
-        gateway.peersHeard(heard);
+    private void refreshTotals() {
+        long now = gateway.nowMillis();
+        boolean heard = table.anyPresent(now) && gateway.enabled(Mechanism.PEER_LOAD);
+        gateway.peerLoadAvailable(heard);
         if (!heard) {
             return;
         }
@@ -301,26 +301,26 @@
         gateway.placement().updatePeerDemands(table.demands(now));
     }
 
-    private void tellPresence(long now) {
+    private void logPresenceChanges(long now) {
         Set<String> newly = table.present(now);
         for (String name : newly) {
-            if (!present.contains(name)) {
+            if (!presentPeers.contains(name)) {
                 LogLine.of(LogEvent.PEER_BACK).with(LogField.SERVER, name).write();
             }
         }
-        for (String name : present) {
+        for (String name : presentPeers) {
             if (!newly.contains(name)) {
                 gateway.count("peer_lost");
                 LogLine.failure(LogEvent.PEER_LOST).with(LogField.SERVER, name).write();
             }
         }
-        present = newly;
+        presentPeers = newly;
         gateway.peersPresent(newly.size());
     }
 
     /** Returns the age of the oldest report of a present peer, in seconds; not a number without one. */
     double oldestReportSeconds() {
-        long now = gateway.now();
+        long now = gateway.nowMillis();
         return table.peers().stream()
                 .filter(peer -> PeerTable.present(peer, now))
                 .mapToDouble(peer -> (now - peer.receivedAtMillis()) / 1000.0)
@@ -328,13 +328,13 @@
                 .orElse(Double.NaN);
     }
 
-    private void askConfig(PeerReport ahead) {
-        if (askingConfig) {
+    private void requestConfig(PeerReport ahead) {
+        if (configRequestInFlight) {
             return;
         }
-        askingConfig = true;
-        ask(ahead, PeerDoor.CONFIG, body -> {
-            askingConfig = false;
+        configRequestInFlight = true;
+        request(ahead, PeerDoor.CONFIG_PATH, body -> {
+            configRequestInFlight = false;
             if (body != null) {
                 try {
                     gateway.apply(decoder.apply(body), body);
@@ -343,7 +343,7 @@
                 }
             }
             if (gateway.configVersion() < ahead.configVersion()) {
-                tellBehind(ahead);
+                configFetchFailed(ahead);
             }
         });
     }
@@ -352,26 +352,26 @@
      * Datagrams come from a peer that can't be asked: packets get through one way only, or it takes no connection. Its reports
      * alone keep this gateway from reading the store, so for as long as that lasts it would stay behind without an end.
      */
-    private void tellBehind(PeerReport ahead) {
+    private void configFetchFailed(PeerReport ahead) {
         gateway.count("peer_ask_failed");
-        if (toldBehind != ahead.configVersion()) {
-            toldBehind = ahead.configVersion();
+        if (loggedConfigVersion != ahead.configVersion()) {
+            loggedConfigVersion = ahead.configVersion();
             LogLine.failure(LogEvent.PEER_ASK_FAILED)
                     .with(LogField.SERVER, ahead.name())
                     .with(LogField.CONFIG, ahead.configVersion())
                     .write();
         }
-        behindListener.run();
+        configFetchFailureListener.run();
     }
 
-    private void askServers(PeerReport ahead) {
-        if (askingServers) {
+    private void requestServers(PeerReport ahead) {
+        if (serversRequestInFlight) {
             return;
         }
-        askingServers = true;
-        long asked = gateway.now();
-        ask(ahead, PeerDoor.SERVERS, body -> {
-            askingServers = false;
+        serversRequestInFlight = true;
+        long asked = gateway.nowMillis();
+        request(ahead, PeerDoor.SERVERS_PATH, body -> {
+            serversRequestInFlight = false;
             if (body != null) {
                 try {
                     PeerCodec.Servers servers = PeerCodec.servers(body);
@@ -383,7 +383,7 @@
         });
     }
 
-    private void ask(PeerReport peer, String path, java.util.function.Consumer<byte[]> done) {
+    private void request(PeerReport peer, String path, java.util.function.Consumer<byte[]> done) {
         InetSocketAddress address;
         try {
             address = PeerCodec.address(peer.address());
@@ -391,8 +391,8 @@
             done.accept(null);
             return;
         }
-        JsonCaller caller = JsonCaller.to(loop, address);
-        caller.call(HttpMethod.GET, path, "", ASK_MILLIS, answer -> {
+        JsonCaller caller = JsonCaller.of(loop, address);
+        caller.call(HttpMethod.GET, path, "", REQUEST_TIMEOUT_MILLIS, answer -> {
             caller.close();
             done.accept(answer.status() == 200 ? answer.body() : null);
         });
@@ -405,7 +405,7 @@
             byte[] bytes = new byte[packet.content().readableBytes()];
             packet.content().readBytes(bytes);
             try {
-                hear(PeerCodec.state(bytes));
+                receive(PeerCodec.state(bytes));
             } catch (InvalidProtocolBufferException e) {
                 gateway.count("peer_report_unreadable");
             }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Refusal.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Refusal.java
@@ -11,7 +11,7 @@
  */
 record Refusal(int status, ResultCode code, long retryAfterMillis) {
     /** Returns what the caller may take for known of whether its request ran. */
-    String run() {
+    String executionStatus() {
         return status == 503 || status < 500 ? "not_run" : "unknown";
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
@@ -27,11 +27,11 @@
 /** One request at one backend server: sends it, and passes on what of the answer is whole and not yet known. */
 final class RelayAttempt implements AttemptListener {
     /** Answers up to this size are held until they are whole, so that a broken one can be asked for again, in bytes. */
-    private static final int MOST_HELD = 256 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 256 * 1024;
     /** A safe request that has no answer after this many times its target is tried elsewhere. */
-    private static final int PATIENCE = 3;
+    private static final int SILENCE_TIMEOUT_FACTOR = 3;
     /** Longest idle time of a connection for a request that can't be sent again if its close crosses it. */
-    private static final long FRESH_MILLIS = 1_500;
+    private static final long MAX_IDLE_NON_IDEMPOTENT_MILLIS = 1_500;
 
     private final Gateway gateway;
     private final RelayExchange exchange;
@@ -41,17 +41,17 @@
     private final Route route;
     private final PlacementPolicy.Decision placed;
     private final ServerInstance server;
-    private final long began;
+    private final long startedAtMillis;
     private BackendConnection connection;
     private boolean sent;
-    private boolean reading = true;
-    private boolean done;
-    private boolean paid;
+    private boolean prefillPending = true;
+    private boolean finished;
+    private boolean retryBudgetTaken;
     private boolean streaming;
-    private Future<?> patience;
-    private RankGate.PendingRequest waiting;
-    private HttpResponse answer;
-    private CompositeByteBuf held;
+    private Future<?> silenceTimer;
+    private RankGate.PendingRequest firstOutputWait;
+    private HttpResponse response;
+    private CompositeByteBuf buffered;
     private EventSplitter events;
 
     RelayAttempt(Gateway gateway, RelayExchange exchange, PlacementRequest request, PlacementPolicy.Decision placed) {
@@ -63,7 +63,7 @@
         this.route = request.route();
         this.placed = placed;
         this.server = placed.server();
-        this.began = gateway.now();
+        this.startedAtMillis = gateway.nowMillis();
     }
 
     ServerInstance server() {
@@ -71,8 +71,8 @@
     }
 
     /** Returns when the attempt began, in milliseconds. */
-    long began() {
-        return began;
+    long startedAtMillis() {
+        return startedAtMillis;
     }
 
     /** Returns whether the request was handed to a connection, so that it may be running. */
@@ -82,17 +82,17 @@
 
     /** Takes a kept connection, or makes one, and sends the request. */
     void start() {
-        gateway.sent(request, placed);
-        waiting = RankGate.PendingRequest.of(server.instanceId(), exchange.rank(), began + route.targetMillis());
-        gateway.ranks().recordSent(waiting);
-        long mostIdle = route.idempotent() ? Long.MAX_VALUE : FRESH_MILLIS;
-        BackendConnection kept = gateway.pool().kept(server, mostIdle);
+        gateway.requestSent(request, placed);
+        firstOutputWait = RankGate.PendingRequest.of(server.instanceId(), exchange.rank(), startedAtMillis + route.targetMillis());
+        gateway.rankGate().recordSent(firstOutputWait);
+        long mostIdle = route.idempotent() ? Long.MAX_VALUE : MAX_IDLE_NON_IDEMPOTENT_MILLIS;
+        BackendConnection kept = gateway.pool().pollIdle(server, mostIdle);
         if (kept != null) {
             transmit(kept);
             return;
         }
         gateway.pool().connect(server, fresh -> {
-            if (done) {
+            if (finished) {
                 if (fresh != null) {
                     gateway.pool().idle(fresh);
                 }
@@ -107,246 +107,246 @@
     private void transmit(BackendConnection ready) {
         connection = ready;
         sent = true;
-        connection.reading(caller.writable());
-        connection.send(exchange.requestTo(placed), exchange.attemptId(), this);
+        connection.setReading(caller.writable());
+        connection.send(exchange.backendRequest(placed), exchange.attemptId(), this);
         if (route.kind() == RouteKind.SAFE && route.targetMillis() > 0) {
-            patience = gateway.schedule(this::tooSilent, PATIENCE * route.targetMillis());
+            silenceTimer = gateway.schedule(this::responseTimedOut, SILENCE_TIMEOUT_FACTOR * route.targetMillis());
         }
     }
 
     /** The server has said nothing for so long that another one is the better choice. */
-    private void tooSilent() {
-        if (!done && answer == null && exchange.payForRepeat()) {
-            paid = true;
+    private void responseTimedOut() {
+        if (!finished && response == null && exchange.takeRetryBudget()) {
+            retryBudgetTaken = true;
             connection.abort();
             fail(AttemptEnd.SILENT, "no answer in time");
         }
     }
 
     /** Leaves a server that owes events of a stream and has said nothing for longer than a time. */
-    void leaveIfSilent(long silentMillis) {
-        if (streaming && server.silenceMillis(gateway.now()) > silentMillis) {
+    void abandonIfSilent(long silentMillis) {
+        if (streaming && server.silenceMillis(gateway.nowMillis()) > silentMillis) {
             connection.abort();
             fail(AttemptEnd.SILENT, "server fell silent");
         }
     }
 
     /** The caller reads again, or has stopped reading. */
-    void callerWritable(boolean writable) {
+    void callerWritabilityChanged(boolean writable) {
         if (connection != null) {
-            connection.reading(writable);
+            connection.setReading(writable);
         }
     }
 
     @Override
-    public void head(HttpResponse response, AnswerTerms answerTerms) {
+    public void responseHead(HttpResponse response, AnswerTerms answerTerms) {
         int status = response.status().code();
-        server.recordReceived(gateway.now());
-        answerTerms.load().ifPresent(load -> gateway.load(server, load));
+        server.recordReceived(gateway.nowMillis());
+        answerTerms.load().ifPresent(load -> gateway.loadReported(server, load));
         if (status == 421) {
-            gateway.replaced(server);
-            leave(AttemptEnd.WRONG_SERVER, "another server has the address");
-        } else if (answerTerms.notRun()) {
-            leave(AttemptEnd.NOT_RUN, "server refused with " + status);
+            gateway.serverReplaced(server);
+            failKeepingConnection(AttemptEnd.WRONG_SERVER, "another server has the address");
+        } else if (answerTerms.notExecuted()) {
+            failKeepingConnection(AttemptEnd.NOT_RUN, "server refused with " + status);
         } else {
-            answered(response, answerTerms);
+            handleResponse(response, answerTerms);
         }
     }
 
-    private void answered(HttpResponse response, AnswerTerms answerTerms) {
+    private void handleResponse(HttpResponse response, AnswerTerms answerTerms) {
         int status = response.status().code();
         if (route.kind() != RouteKind.STREAM || status != HttpResponseStatus.OK.code()) {
-            exchange.serverBegan();
+            exchange.markExecutionStarted();
         }
-        if (!usable(response, answerTerms)) {
+        if (!acceptable(response, answerTerms)) {
             connection.abort();
             fail(AttemptEnd.BROKEN, "answer without signature or with a coding");
-        } else if (status >= 500 && progress.headPassed()) {
-            leave(AttemptEnd.SERVER_ERROR, "server answered " + status);
-        } else if (status >= 500 && exchange.payForRepeat()) {
-            paid = true;
-            leave(AttemptEnd.SERVER_ERROR, "server answered " + status);
+        } else if (status >= 500 && progress.headForwarded()) {
+            failKeepingConnection(AttemptEnd.SERVER_ERROR, "server answered " + status);
+        } else if (status >= 500 && exchange.takeRetryBudget()) {
+            retryBudgetTaken = true;
+            failKeepingConnection(AttemptEnd.SERVER_ERROR, "server answered " + status);
         } else {
-            begin(response, answerTerms);
+            beginResponse(response, answerTerms);
         }
     }
 
-    private static boolean usable(HttpResponse response, AnswerTerms answerTerms) {
+    private static boolean acceptable(HttpResponse response, AnswerTerms answerTerms) {
         return answerTerms.sealed() && !response.headers().contains(HttpHeaderNames.CONTENT_ENCODING);
     }
 
-    private void begin(HttpResponse response, AnswerTerms answerTerms) {
+    private void beginResponse(HttpResponse response, AnswerTerms answerTerms) {
         int status = response.status().code();
-        answer = response;
+        this.response = response;
         if (route.kind() == RouteKind.STREAM && status == 200) {
             events = new EventSplitter(UnpooledByteBufAllocator.DEFAULT);
-            progress.begunWith(answerTerms.weightsVersion());
+            progress.startedWith(answerTerms.weightsVersion());
             return;
         }
-        if (progress.headPassed()) {
+        if (progress.headForwarded()) {
             connection.abort();
             fail(AttemptEnd.CUT, "server answered " + status + " to a resume");
             return;
         }
-        held = Unpooled.compositeBuffer(64);
+        buffered = Unpooled.compositeBuffer(64);
     }
 
     @Override
-    public void body(ByteBuf bytes) {
+    public void responseBody(ByteBuf bytes) {
         if (events != null) {
-            stream(bytes);
-        } else if (held == null) {
-            caller.writePiece(bytes.retain());
+            forwardEvents(bytes);
+        } else if (buffered == null) {
+            caller.writeChunk(bytes.retain());
         } else {
-            held.addComponent(true, bytes.retain());
-            if (held.readableBytes() > MOST_HELD) {
-                passHead();
-                caller.writePiece(held);
-                held = null;
+            buffered.addComponent(true, bytes.retain());
+            if (buffered.readableBytes() > MAX_BUFFERED_BYTES) {
+                forwardHead();
+                caller.writeChunk(buffered);
+                buffered = null;
             }
         }
     }
 
-    private void stream(ByteBuf bytes) {
-        long now = gateway.now();
+    private void forwardEvents(ByteBuf bytes) {
+        long now = gateway.nowMillis();
         server.recordReceived(now);
         for (EventSplitter.Event event : events.feed(bytes)) {
-            noteRead();
-            if (done || progress.knows(event.id())) {
+            noteFirstOutput();
+            if (finished || progress.alreadyForwarded(event.id())) {
                 event.bytes().release();
                 continue;
             }
-            if (!progress.headPassed()) {
-                passHead();
+            if (!progress.headForwarded()) {
+                forwardHead();
             }
-            progress.passed(event.id(), now);
-            caller.writePiece(event.bytes());
+            progress.forwarded(event.id(), now);
+            caller.writeChunk(event.bytes());
         }
-        if (!done && events.oversized()) {
+        if (!finished && events.oversized()) {
             connection.abort();
             fail(AttemptEnd.BROKEN, "event without an end");
         }
     }
 
-    private void passHead() {
-        HttpHeaders headers = answer.headers().copy();
+    private void forwardHead() {
+        HttpHeaders headers = response.headers().copy();
         HopHeaders.remove(headers);
         if (events != null || !headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
             headers.remove(HttpHeaderNames.CONTENT_LENGTH);
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        progress.passedHead();
-        caller.writeHead(new DefaultHttpResponse(HttpVersion.HTTP_1_1, answer.status(), headers));
+        progress.markHeadForwarded();
+        caller.writeHead(new DefaultHttpResponse(HttpVersion.HTTP_1_1, response.status(), headers));
     }
 
     @Override
-    public void ended() {
-        if (events != null && events.partial()) {
-            fail(progress.headPassed() ? AttemptEnd.CUT : AttemptEnd.BROKEN, "stream ended within an event");
+    public void responseCompleted() {
+        if (events != null && events.hasPartialEvent()) {
+            fail(progress.headForwarded() ? AttemptEnd.CUT : AttemptEnd.BROKEN, "stream ended within an event");
             return;
         }
-        settle();
-        if (events == null && held != null) {
-            writeHeld();
+        release();
+        if (events == null && buffered != null) {
+            writeBuffered();
             return;
         }
-        if (!progress.headPassed()) {
-            passHead();
+        if (!progress.headForwarded()) {
+            forwardHead();
         }
-        exchange.answered(answer.status().code(), server);
-        caller.writeEnd();
+        exchange.responseCompleted(response.status().code(), server);
+        caller.endResponse();
     }
 
-    private void writeHeld() {
-        HttpHeaders headers = answer.headers().copy();
+    private void writeBuffered() {
+        HttpHeaders headers = response.headers().copy();
         HopHeaders.remove(headers);
         if (!exchange.method().equals(HttpMethod.HEAD)) {
-            headers.set(HttpHeaderNames.CONTENT_LENGTH, held.readableBytes());
+            headers.set(HttpHeaderNames.CONTENT_LENGTH, buffered.readableBytes());
         }
-        ByteBuf whole = held;
-        held = null;
-        exchange.answered(answer.status().code(), server);
-        caller.writeWhole(new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, answer.status(), whole, headers, EmptyHttpHeaders.INSTANCE));
+        ByteBuf whole = buffered;
+        buffered = null;
+        exchange.responseCompleted(response.status().code(), server);
+        caller.writeResponse(new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, response.status(), whole, headers, EmptyHttpHeaders.INSTANCE));
     }
 
     @Override
-    public void failed(AttemptEnd end, String why) {
-        fail(progress.headPassed() && end == AttemptEnd.BROKEN ? AttemptEnd.CUT : end, why);
+    public void attemptFailed(AttemptEnd end, String why) {
+        fail(progress.headForwarded() && end == AttemptEnd.BROKEN ? AttemptEnd.CUT : end, why);
     }
 
     /** Leaves the rest of an answer that isn't wanted to the connection, which stays of use. */
-    private void leave(AttemptEnd end, String why) {
+    private void failKeepingConnection(AttemptEnd end, String why) {
         connection.detach(() -> {});
         fail(end, why);
     }
 
     private void fail(AttemptEnd end, String why) {
-        if (done) {
+        if (finished) {
             return;
         }
-        settle();
-        releaseHeld();
-        exchange.attemptFailed(this, end, why, paid);
+        release();
+        releaseBuffered();
+        exchange.attemptFailed(this, end, why, retryBudgetTaken);
     }
 
     /** Stops the attempt because nobody waits for it any more. */
-    void drop() {
-        settle();
-        releaseHeld();
+    void cancel() {
+        release();
+        releaseBuffered();
         if (connection == null) {
             return;
         }
         if (route.kind() == RouteKind.UNSAFE) {
             RequestFingerprint fingerprint = exchange.fingerprint();
-            connection.detach(() -> gateway.endedServers().brokeUnder(server, fingerprint));
-            connection.reading(true);
+            connection.detach(() -> gateway.crashDetector().connectionBroke(server, fingerprint));
+            connection.setReading(true);
         } else {
             connection.abort();
         }
     }
 
-    private void noteRead() {
+    private void noteFirstOutput() {
         if (!streaming) {
             streaming = true;
-            exchange.serverBegan();
+            exchange.markExecutionStarted();
             server.recordStreamStart();
-            gateway.ranks().recordSettled(waiting);
+            gateway.rankGate().recordSettled(firstOutputWait);
         }
-        if (reading) {
-            reading = false;
+        if (prefillPending) {
+            prefillPending = false;
             server.recordPrefill(placed.tokensToPrefill());
-            gateway.placement().recordPrefill(request, placed, gateway.now() - began);
+            gateway.placement().recordPrefill(request, placed, gateway.nowMillis() - startedAtMillis);
         }
     }
 
-    private void settle() {
-        if (done) {
+    private void release() {
+        if (finished) {
             return;
         }
-        done = true;
-        gateway.ranks().recordSettled(waiting);
-        if (patience != null) {
-            patience.cancel(false);
+        finished = true;
+        gateway.rankGate().recordSettled(firstOutputWait);
+        if (silenceTimer != null) {
+            silenceTimer.cancel(false);
         }
         if (streaming) {
             server.recordStreamEnd();
         }
-        if (reading) {
-            reading = false;
+        if (prefillPending) {
+            prefillPending = false;
             server.recordPrefill(placed.tokensToPrefill());
         }
         server.recordEnd();
-        gateway.placement().recordEnd(request, placed, gateway.now());
+        gateway.placement().recordEnd(request, placed, gateway.nowMillis());
         if (events != null) {
             events.release();
         }
     }
 
-    private void releaseHeld() {
-        if (held != null) {
-            held.release();
-            held = null;
+    private void releaseBuffered() {
+        if (buffered != null) {
+            buffered.release();
+            buffered = null;
         }
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
@@ -34,40 +34,40 @@
      * How long a request waits for a gateway that has just started to learn its configuration: that takes a tenth of a
      * second, and a caller that is sent away comes back later than that.
      */
-    private static final long START_MILLIS = 400;
+    private static final long INITIALIZATION_TIMEOUT_MILLIS = 400;
     /** Servers that fail requests answer with such a status without running them. */
-    private static final int FIRST_ERROR = 400;
+    private static final int MIN_ERROR_STATUS = 400;
 
     private final Gateway gateway;
     private final CallerConnection caller;
     private final HttpRequest head;
     private final ByteBuf body;
-    private final long arrived;
-    private final CallerTerms terms;
+    private final long arrivedAtMillis;
+    private final CallerTerms metadata;
     private final AnswerProgress progress;
-    private final RequestTrail trail;
-    private final Set<String> tried = new HashSet<>();
+    private final RequestTrail telemetry;
+    private final Set<String> triedServers = new HashSet<>();
     private RelayConfig config;
     private Route route;
     private String service;
     private Optional<WorkspaceConfig> workspace = Optional.empty();
-    private long giveUpAt;
+    private long deadlineMillis;
     private Future<?> timer;
     private RelayAttempt attempt;
     private AttemptHistory history;
     private RequestFingerprint fingerprint;
-    private boolean begun;
-    private boolean over;
+    private boolean executionStarted;
+    private boolean finished;
 
     private RelayExchange(Gateway gateway, CallerConnection caller, HttpRequest head, ByteBuf body, long arrived) {
         this.gateway = gateway;
         this.caller = caller;
         this.head = head;
         this.body = body;
-        this.arrived = arrived;
-        this.terms = gateway.dialect().callerTerms(head);
-        this.progress = AnswerProgress.after(terms.lastEventId());
-        this.trail = RequestTrail.of(gateway, terms.attemptId(), arrived);
+        this.arrivedAtMillis = arrived;
+        this.metadata = gateway.dialect().callerMetadata(head);
+        this.progress = AnswerProgress.after(metadata.lastEventId());
+        this.telemetry = RequestTrail.of(gateway, metadata.attemptId(), arrived);
     }
 
     /** Returns an exchange for a request that was read whole; its body is taken over. */
@@ -77,29 +77,29 @@
 
     /** Finds the route and sends the request, or refuses it. */
     void start() {
-        gateway.began(this);
-        if (!gateway.informed()) {
-            timer = gateway.schedule(this::notInformed, START_MILLIS);
+        gateway.exchangeStarted(this);
+        if (!gateway.initialized()) {
+            timer = gateway.schedule(this::initializationTimedOut, INITIALIZATION_TIMEOUT_MILLIS);
             return;
         }
-        resolve();
+        resolveRoute();
     }
 
     /** The gateway has its first configuration and server list: whoever waited for them goes on. */
-    void informed() {
-        if (!over && route == null && timer != null) {
+    void gatewayInitialized() {
+        if (!finished && route == null && timer != null) {
             timer.cancel(false);
-            resolve();
+            resolveRoute();
         }
     }
 
-    private void notInformed() {
-        if (!over && route == null) {
-            refuse(Refusal.notRun(ResultCode.NOT_READY, gateway.comeBackMillis()));
+    private void initializationTimedOut() {
+        if (!finished && route == null) {
+            refuse(Refusal.notRun(ResultCode.NOT_READY, gateway.retryAfterMillis()));
         }
     }
 
-    private void resolve() {
+    private void resolveRoute() {
         config = gateway.config().orElseThrow();
         Optional<Route> found = config.route(head.headers().get(HttpHeaderNames.HOST), head.uri());
         if (found.isEmpty()) {
@@ -107,85 +107,85 @@
             return;
         }
         route = found.get();
-        workspace = terms.key().flatMap(config::workspace);
+        workspace = metadata.key().flatMap(config::workspace);
         if (workspace.isEmpty() && !route.anonymous() && config.requiresKey()) {
             refuse(Refusal.of(401, ResultCode.UNKNOWN_KEY));
             return;
         }
-        long patience = Math.min(terms.patienceMillis().orElse(route.timeoutMillis()), route.timeoutMillis());
-        giveUpAt = arrived + patience;
-        timer = gateway.schedule(this::giveUp, Math.max(1, leftMillis()));
+        long patience = Math.min(metadata.timeoutMillis().orElse(route.timeoutMillis()), route.timeoutMillis());
+        deadlineMillis = arrivedAtMillis + patience;
+        timer = gateway.schedule(this::deadlineExpired, Math.max(1, remainingMillis()));
         history = AttemptHistory.of(route.attemptTerms());
-        service = route.service(terms.attemptId().hashCode());
-        gateway.budget().request(service, gateway.now());
-        trail.routed(route, workspace, service, rank(), leftMillis());
-        send();
+        service = route.service(metadata.attemptId().hashCode());
+        gateway.budget().request(service, gateway.nowMillis());
+        telemetry.routed(route, workspace, service, rank(), remainingMillis());
+        startAttempt();
     }
 
-    private void send() {
-        long now = gateway.now();
-        OptionalLong held = heldMillis(now);
+    private void startAttempt() {
+        long now = gateway.nowMillis();
+        OptionalLong held = quarantineMillis(now);
         if (held.isPresent()) {
-            trail.held(fingerprint());
-            endUnserved("servers end under it", Refusal.notRun(ResultCode.REQUEST_HELD, held.getAsLong()));
+            telemetry.quarantined(fingerprint());
+            endWithoutResponse("servers end under it", Refusal.notRun(ResultCode.REQUEST_HELD, held.getAsLong()));
             return;
         }
-        List<ServerInstance> candidates = gateway.candidates(service, tried, now);
+        List<ServerInstance> candidates = gateway.candidates(service, triedServers, now);
         PlacementRequest request =
-                new PlacementRequest(route, config.service(service), terms.prompt(), gateway.domain());
+                new PlacementRequest(route, config.service(service), metadata.prompt(), gateway.domain());
         Optional<PlacementPolicy.Decision> placed = gateway.placement().place(request, candidates, now);
         if (placed.isEmpty()) {
-            noServer();
+            failWithoutServer();
             return;
         }
         ServerInstance chosen = placed.get().server();
-        if (gateway.uses(Mechanism.RANK_GATE)
+        if (gateway.enabled(Mechanism.RANK_GATE)
                 && history.sends() == 0
-                && gateway.ranks().mustYield(rank(), chosen.instanceId(), now)) {
-            trail.yields(chosen, rank());
-            refuse(Refusal.notRun(ResultCode.QUEUE_FULL, gateway.comeBackMillis()));
+                && gateway.rankGate().mustYield(rank(), chosen.instanceId(), now)) {
+            telemetry.yieldedToUrgent(chosen, rank());
+            refuse(Refusal.notRun(ResultCode.QUEUE_FULL, gateway.retryAfterMillis()));
             return;
         }
-        if (turnedAway(placed.get())) {
+        if (rejectedByAdmission(placed.get())) {
             return;
         }
-        tried.add(chosen.id());
+        triedServers.add(chosen.id());
         history.sent();
-        trail.sent(placed.get(), candidates.size(), level(placed.get()));
+        telemetry.sent(placed.get(), candidates.size(), level(placed.get()));
         attempt = new RelayAttempt(gateway, this, request, placed.get());
         attempt.start();
     }
 
     /** Refuses a request of the last rank that couldn't be in time where it would go; returns whether it did. */
-    private boolean turnedAway(PlacementPolicy.Decision placed) {
+    private boolean rejectedByAdmission(PlacementPolicy.Decision placed) {
         if (history.sends() > 0
-                || !gateway.uses(Mechanism.ADMISSION)
+                || !gateway.enabled(Mechanism.ADMISSION)
                 || !config.isLeastUrgent(workspace, route, service)) {
             return false;
         }
         OptionalLong comeBack =
-                AdmissionControl.retryAfterMillis(route, placed.expectedWaitMillis(), leftMillis(), gateway.draw());
+                AdmissionControl.retryAfterMillis(route, placed.expectedWaitMillis(), remainingMillis(), gateway.randomFraction());
         comeBack.ifPresent(millis -> {
-            trail.turnedAway(placed);
+            telemetry.rejected(placed);
             refuse(Refusal.notRun(ResultCode.QUEUE_FULL, millis));
         });
         return comeBack.isPresent();
     }
 
-    private OptionalLong heldMillis(long now) {
+    private OptionalLong quarantineMillis(long now) {
         return gateway.quarantine().empty()
                 ? OptionalLong.empty()
                 : gateway.quarantine().heldMillis(fingerprint(), now);
     }
 
-    private void noServer() {
-        endUnserved("no server to go on at", Refusal.notRun(ResultCode.NO_SERVER, gateway.comeBackMillis(service)));
+    private void failWithoutServer() {
+        endWithoutResponse("no server to go on at", Refusal.notRun(ResultCode.NO_SERVER, gateway.retryAfterMillis(service)));
     }
 
     /** Ends the exchange without an answer of a server: {@code notRun} is told only if no server may have run it. */
-    private void endUnserved(String why, Refusal notRun) {
-        if (progress.headPassed()) {
-            cut(why);
+    private void endWithoutResponse(String why, Refusal notRun) {
+        if (progress.headForwarded()) {
+            truncate(why);
         } else if (history.mayHaveRun()) {
             refuse(Refusal.of(502, ResultCode.CONNECTION_LOST));
         } else {
@@ -200,7 +200,7 @@
     }
 
     String attemptId() {
-        return terms.attemptId();
+        return metadata.attemptId();
     }
 
     AnswerProgress progress() {
@@ -233,26 +233,26 @@
     }
 
     /** Returns the time until the request is given up, in milliseconds. */
-    long leftMillis() {
-        return giveUpAt - gateway.now();
+    long remainingMillis() {
+        return deadlineMillis - gateway.nowMillis();
     }
 
     /** Returns the request as it is sent to the server of a choice; its body is shared with this one. */
-    FullHttpRequest requestTo(PlacementPolicy.Decision placed) {
+    FullHttpRequest backendRequest(PlacementPolicy.Decision placed) {
         HttpHeaders headers = head.headers().copy();
         HopHeaders.remove(headers);
         gateway.dialect()
-                .prepare(
+                .prepareBackendRequest(
                         headers,
                         new SendTerms(
                                 placed.server().id(),
-                                Math.max(1, leftMillis()),
+                                Math.max(1, remainingMillis()),
                                 workspace.map(WorkspaceConfig::name),
                                 level(placed),
-                                progress.resumeAfter(),
+                                progress.resumeAfterEvent(),
                                 placed.fetch().map(fetch -> fetch.source().address()),
                                 progress.weightsVersion()));
-        if (body.isReadable() || !bodiless(head.method())) {
+        if (body.isReadable() || !usuallyWithoutBody(head.method())) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
         } else {
             headers.remove(HttpHeaderNames.CONTENT_LENGTH);
@@ -266,139 +266,139 @@
                 EmptyHttpHeaders.INSTANCE);
     }
 
-    private static boolean bodiless(HttpMethod method) {
+    private static boolean usuallyWithoutBody(HttpMethod method) {
         return method.equals(HttpMethod.GET) || method.equals(HttpMethod.HEAD) || method.equals(HttpMethod.DELETE);
     }
 
     /** Returns whether the request may go to another server though its attempt has run, and takes that from the budget. */
-    boolean payForRepeat() {
-        return gateway.uses(Mechanism.RETRIES)
-                && history.couldRepeatAfterRun(leftMillis())
-                && gateway.budget().take(service, gateway.now());
+    boolean takeRetryBudget() {
+        return gateway.enabled(Mechanism.RETRIES)
+                && history.couldRepeatAfterRun(remainingMillis())
+                && gateway.budget().take(service, gateway.nowMillis());
     }
 
     /** Its attempt has failed; {@code paid} says whether the budget was asked already. */
     void attemptFailed(RelayAttempt ended, AttemptEnd end, String why, boolean paid) {
         history.ended(end.mayHaveRun());
         if (end.mayHaveRun()) {
-            serverBegan();
+            markExecutionStarted();
         }
         gateway.attemptFailed(ended.server(), end);
-        trail.attemptFailed(
-                end, why, ended.began(), progress, end.broken() ? Optional.of(fingerprint()) : Optional.empty());
+        telemetry.attemptFailed(
+                end, why, ended.startedAtMillis(), progress, end.broken() ? Optional.of(fingerprint()) : Optional.empty());
         attempt = null;
         if (end.broken()) {
-            gateway.endedServers().brokeUnder(ended.server(), fingerprint());
+            gateway.crashDetector().connectionBroke(ended.server(), fingerprint());
         }
-        boolean repeat = history.mayRepeat(end.mayHaveRun(), leftMillis())
-                && (!end.mayHaveRun() || gateway.uses(Mechanism.RETRIES))
-                && (!progress.headPassed() || mayResume())
-                && (paid || !end.arrived() || gateway.budget().take(service, gateway.now()));
+        boolean repeat = history.mayRepeat(end.mayHaveRun(), remainingMillis())
+                && (!end.mayHaveRun() || gateway.enabled(Mechanism.RETRIES))
+                && (!progress.headForwarded() || canResume())
+                && (paid || !end.arrived() || gateway.budget().take(service, gateway.nowMillis()));
         if (repeat) {
-            trail.again(progress.headPassed(), progress);
-            send();
+            telemetry.retried(progress.headForwarded(), progress);
+            startAttempt();
             return;
         }
-        endUnserved(why, Refusal.notRun(ResultCode.NO_SERVER, gateway.comeBackMillis(service)));
+        endWithoutResponse(why, Refusal.notRun(ResultCode.NO_SERVER, gateway.retryAfterMillis(service)));
     }
 
-    private boolean mayResume() {
-        return route.resumable() && gateway.uses(Mechanism.RESUME);
+    private boolean canResume() {
+        return route.resumable() && gateway.enabled(Mechanism.RESUME);
     }
 
     /** A server has begun to run it, as far as can be known: it has answered, or its connection broke under the request. */
-    void serverBegan() {
-        if (!begun) {
-            begun = true;
-            workspace.ifPresent(terms -> gateway.serverBegan(terms.name()));
+    void markExecutionStarted() {
+        if (!executionStarted) {
+            executionStarted = true;
+            workspace.ifPresent(terms -> gateway.executionStarted(terms.name()));
         }
     }
 
     /** Its attempt has brought a whole answer, which is about to be written to the end. */
-    void answered(int status, ServerInstance server) {
+    void responseCompleted(int status, ServerInstance server) {
         attempt = null;
-        gateway.answered(server, status);
-        if (status < FIRST_ERROR && !gateway.quarantine().empty()) {
-            gateway.quarantine().served(fingerprint(), gateway.now());
+        gateway.responseReceived(server, status);
+        if (status < MIN_ERROR_STATUS && !gateway.quarantine().empty()) {
+            gateway.quarantine().served(fingerprint(), gateway.nowMillis());
         }
-        trail.ended(status, progress);
-        end();
+        telemetry.completed(status, progress);
+        finish();
     }
 
     // ---- ends
 
-    private void giveUp() {
-        if (over) {
+    private void deadlineExpired() {
+        if (finished) {
             return;
         }
-        trail.givenUp();
+        telemetry.abandoned();
         boolean sent = attempt != null && attempt.sent();
-        dropAttempt();
-        if (progress.headPassed()) {
-            cut("time is up");
+        cancelAttempt();
+        if (progress.headForwarded()) {
+            truncate("time is up");
         } else if (sent || history.mayHaveRun()) {
             refuse(Refusal.of(504, ResultCode.ANSWER_TOO_LATE));
         } else {
-            refuse(Refusal.notRun(ResultCode.EXPIRED_IN_QUEUE, gateway.comeBackMillis()));
+            refuse(Refusal.notRun(ResultCode.EXPIRED_IN_QUEUE, gateway.retryAfterMillis()));
         }
     }
 
     /** The caller has closed its connection: whatever works for it is stopped. */
-    void callerGone() {
-        if (over) {
+    void callerDisconnected() {
+        if (finished) {
             return;
         }
-        trail.callerGone(progress);
-        dropAttempt();
-        end();
+        telemetry.callerDisconnected(progress);
+        cancelAttempt();
+        finish();
     }
 
-    private void dropAttempt() {
+    private void cancelAttempt() {
         if (attempt != null) {
-            attempt.drop();
+            attempt.cancel();
             attempt = null;
         }
     }
 
     /** Goes on elsewhere if the server of a stream that can be resumed has fallen silent. */
-    void leaveSilentServer(long silentMillis) {
-        if (attempt != null && mayResume()) {
-            attempt.leaveIfSilent(silentMillis);
+    void abandonSilentServer(long silentMillis) {
+        if (attempt != null && canResume()) {
+            attempt.abandonIfSilent(silentMillis);
         }
     }
 
     /** The caller reads again, or has stopped reading. */
-    void callerWritable(boolean writable) {
+    void callerWritabilityChanged(boolean writable) {
         if (attempt != null) {
-            attempt.callerWritable(writable);
+            attempt.callerWritabilityChanged(writable);
         }
     }
 
     /** Ends the exchange at the bound of a planned stop. */
-    void stopNow() {
-        if (!over) {
-            giveUp();
+    void abort() {
+        if (!finished) {
+            deadlineExpired();
         }
     }
 
     private void refuse(Refusal refusal) {
-        trail.refused(refusal);
-        end();
+        telemetry.refused(refusal);
+        finish();
         caller.refuse(refusal);
     }
 
-    private void cut(String why) {
-        trail.cut(why, progress);
-        end();
-        caller.cut();
+    private void truncate(String why) {
+        telemetry.truncated(why, progress);
+        finish();
+        caller.abortResponse();
     }
 
-    private void end() {
-        over = true;
+    private void finish() {
+        finished = true;
         if (timer != null) {
             timer.cancel(false);
         }
         body.release();
-        gateway.ended(this);
+        gateway.exchangeEnded(this);
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RequestTrail.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RequestTrail.java
@@ -19,16 +19,16 @@
 final class RequestTrail {
     private final Gateway gateway;
     private final String id;
-    private final long arrived;
+    private final long arrivedAtMillis;
     private Optional<Route> route = Optional.empty();
     private int attempts;
     private String server = "";
-    private String why = "";
+    private String reason = "";
 
     private RequestTrail(Gateway gateway, String id, long arrived) {
         this.gateway = gateway;
         this.id = id;
-        this.arrived = arrived;
+        this.arrivedAtMillis = arrived;
     }
 
     /** Returns the trail of a request that arrived at a time in milliseconds. */
@@ -36,20 +36,20 @@
         return new RequestTrail(gateway, id, arrived);
     }
 
-    private LogLine line(LogEvent event, boolean failure) {
+    private LogLine logLine(LogEvent event, boolean failure) {
         return LogLine.of(event, failure).with(LogField.ID, id);
     }
 
     void routed(Route found, Optional<WorkspaceConfig> workspace, String service, int rank, long leftMillis) {
         route = Optional.of(found);
-        line(LogEvent.ROUTED, false)
+        logLine(LogEvent.ROUTED, false)
                 .with(LogField.ROUTE, found.name())
                 .with(LogField.WORKSPACE, workspace.map(WorkspaceConfig::name).orElse(""))
                 .with(LogField.SERVICE, service)
                 .with(LogField.CONFIG, gateway.configVersion())
                 .with(
                         LogField.SERVERS_AGE_MS,
-                        gateway.now() - gateway.directory().newestListMillis())
+                        gateway.nowMillis() - gateway.directory().newestListMillis())
                 .with(LogField.RANK, rank)
                 .with(LogField.LEFT_MS, leftMillis)
                 .write();
@@ -60,7 +60,7 @@
         attempts++;
         ServerInstance chosen = placed.server();
         server = chosen.id();
-        LogLine line = line(LogEvent.SENT, false)
+        LogLine line = logLine(LogEvent.SENT, false)
                 .with(LogField.SERVER, server)
                 .with(LogField.ATTEMPT, attempts)
                 .with(LogField.CANDIDATES, candidates)
@@ -80,94 +80,94 @@
     /** An attempt has failed; {@code broken} holds the request's fingerprint if its connection broke. */
     void attemptFailed(
             AttemptEnd end, String why, long began, AnswerProgress progress, Optional<RequestFingerprint> broken) {
-        LogLine line = line(LogEvent.ATTEMPT_FAILED, true)
+        LogLine line = logLine(LogEvent.ATTEMPT_FAILED, true)
                 .with(LogField.SERVER, server)
                 .with(LogField.ATTEMPT, attempts)
                 .with(LogField.END, end.name().toLowerCase(Locale.ROOT))
                 .with(LogField.WHY, why)
                 .with(LogField.RUN, end.mayHaveRun() ? "unknown" : "not_run")
-                .with(LogField.EVENT_ID, progress.lastEvent())
-                .with(LogField.MS, gateway.now() - began);
+                .with(LogField.EVENT_ID, progress.lastEventId())
+                .with(LogField.MS, gateway.nowMillis() - began);
         broken.ifPresent(fingerprint -> line.with(LogField.FINGERPRINT, fingerprint.toString()));
         line.write();
     }
 
     /** The request goes to another server. */
-    void again(boolean resumed, AnswerProgress progress) {
+    void retried(boolean resumed, AnswerProgress progress) {
         gateway.count(resumed ? "resumed" : "repeated");
-        line(resumed ? LogEvent.RESUMED : LogEvent.REPEATED, true)
+        logLine(resumed ? LogEvent.RESUMED : LogEvent.REPEATED, true)
                 .with(LogField.ATTEMPT, attempts + 1)
-                .with(LogField.EVENT_ID, progress.lastEvent())
+                .with(LogField.EVENT_ID, progress.lastEventId())
                 .write();
     }
 
-    void givenUp() {
+    void abandoned() {
         gateway.count("given_up");
-        line(LogEvent.GIVEN_UP, true).with(LogField.MS, gateway.now() - arrived).write();
+        logLine(LogEvent.GIVEN_UP, true).with(LogField.MS, gateway.nowMillis() - arrivedAtMillis).write();
     }
 
     /** The request has to yield to more urgent ones at the server that was chosen for it. */
-    void yields(ServerInstance chosen, int rank) {
+    void yieldedToUrgent(ServerInstance chosen, int rank) {
         server = chosen.id();
-        why = "requests more urgent than rank " + rank + " are overdue there";
+        reason = "requests more urgent than rank " + rank + " are overdue there";
     }
 
     /** The request could not be in time where it would go. */
-    void turnedAway(PlacementPolicy.Decision placed) {
+    void rejected(PlacementPolicy.Decision placed) {
         gateway.count("turned_away");
         server = placed.server().id();
-        why = "reading takes " + Math.round(placed.expectedWaitMillis()) + " ms there";
+        reason = "reading takes " + Math.round(placed.expectedWaitMillis()) + " ms there";
     }
 
     /** The request is sent no more, since servers ended under it. */
-    void held(RequestFingerprint fingerprint) {
+    void quarantined(RequestFingerprint fingerprint) {
         server = "";
-        why = "servers ended under " + fingerprint;
+        reason = "servers ended under " + fingerprint;
     }
 
     void refused(Refusal refusal) {
-        line(LogEvent.REFUSED, true)
+        logLine(LogEvent.REFUSED, true)
                 .with(LogField.ROUTE, route.map(Route::name).orElse(""))
                 .with(LogField.SERVER, server)
-                .with(LogField.WHY, why)
+                .with(LogField.WHY, reason)
                 .with(LogField.STATUS, refusal.status())
                 .with(LogField.CODE, refusal.code().number())
-                .with(LogField.RUN, refusal.run())
+                .with(LogField.RUN, refusal.executionStatus())
                 .with(LogField.RETRY_AFTER_MS, refusal.retryAfterMillis())
                 .with(LogField.ATTEMPT, attempts)
-                .with(LogField.MS, gateway.now() - arrived)
+                .with(LogField.MS, gateway.nowMillis() - arrivedAtMillis)
                 .write();
     }
 
-    void cut(String why, AnswerProgress progress) {
+    void truncated(String why, AnswerProgress progress) {
         gateway.count("answer_cut");
-        last(LogEvent.CUT, true, progress).with(LogField.WHY, why).write();
+        finalLine(LogEvent.CUT, true, progress).with(LogField.WHY, why).write();
     }
 
-    void callerGone(AnswerProgress progress) {
+    void callerDisconnected(AnswerProgress progress) {
         gateway.count("caller_gone");
-        last(LogEvent.CALLER_GONE, true, progress).write();
+        finalLine(LogEvent.CALLER_GONE, true, progress).write();
     }
 
     /** The answer was passed on whole. */
-    void ended(int status, AnswerProgress progress) {
-        long now = gateway.now();
-        boolean late = late(now, progress);
-        last(LogEvent.ENDED, late || status >= 400, progress)
+    void completed(int status, AnswerProgress progress) {
+        long now = gateway.nowMillis();
+        boolean late = missedTarget(now, progress);
+        finalLine(LogEvent.ENDED, late || status >= 400, progress)
                 .with(LogField.STATUS, status)
                 .with(LogField.LATE, late)
                 .write();
-        route.ifPresent(of -> measure(label(of), now, progress));
+        route.ifPresent(of -> recordTimes(label(of), now, progress));
         if (late) {
             gateway.count("answered_late");
         }
     }
 
-    private void measure(String label, long now, AnswerProgress progress) {
-        long first = progress.firstAt() < 0 ? 0 : progress.firstAt() - arrived;
+    private void recordTimes(String label, long now, AnswerProgress progress) {
+        long first = progress.firstEventAtMillis() < 0 ? 0 : progress.firstEventAtMillis() - arrivedAtMillis;
         NodeMetrics metrics = gateway.metrics();
-        metrics.times(label, Duration.ofMillis(first), Duration.ZERO, Duration.ofMillis(now - arrived));
-        metrics.longestPause(label, Duration.ofMillis(progress.longestPause()));
+        metrics.times(label, Duration.ofMillis(first), Duration.ZERO, Duration.ofMillis(now - arrivedAtMillis));
+        metrics.longestPause(label, Duration.ofMillis(progress.longestGapMillis()));
     }
 
     /** Requests of one kind and rank are shown together: their number doesn't grow with routes and workspaces. */
@@ -175,29 +175,29 @@
         return route.kind().name().toLowerCase(Locale.ROOT) + "/" + route.priority();
     }
 
-    private LogLine last(LogEvent event, boolean failure, AnswerProgress progress) {
-        LogLine line = line(event, failure)
+    private LogLine finalLine(LogEvent event, boolean failure, AnswerProgress progress) {
+        LogLine line = logLine(event, failure)
                 .with(LogField.ROUTE, route.map(Route::name).orElse(""))
                 .with(LogField.SERVER, server)
                 .with(LogField.ATTEMPT, attempts)
-                .with(LogField.MS, gateway.now() - arrived);
-        if (progress.firstAt() >= 0) {
-            line.with(LogField.FIRST_MS, progress.firstAt() - arrived)
-                    .with(LogField.PAUSE_MS, progress.longestPause())
-                    .with(LogField.EVENT_ID, progress.lastEvent());
+                .with(LogField.MS, gateway.nowMillis() - arrivedAtMillis);
+        if (progress.firstEventAtMillis() >= 0) {
+            line.with(LogField.FIRST_MS, progress.firstEventAtMillis() - arrivedAtMillis)
+                    .with(LogField.PAUSE_MS, progress.longestGapMillis())
+                    .with(LogField.EVENT_ID, progress.lastEventId());
         }
         return line;
     }
 
-    private boolean late(long now, AnswerProgress progress) {
+    private boolean missedTarget(long now, AnswerProgress progress) {
         if (route.isEmpty() || route.get().targetMillis() <= 0) {
             return false;
         }
         Route of = route.get();
-        if (of.kind() != RouteKind.STREAM || progress.firstAt() < 0) {
-            return now - arrived > of.targetMillis();
+        if (of.kind() != RouteKind.STREAM || progress.firstEventAtMillis() < 0) {
+            return now - arrivedAtMillis > of.targetMillis();
         }
-        return progress.firstAt() - arrived > of.targetMillis()
-                || (of.maxEventGapMillis() > 0 && progress.longestPause() > of.maxEventGapMillis());
+        return progress.firstEventAtMillis() - arrivedAtMillis > of.targetMillis()
+                || (of.maxEventGapMillis() > 0 && progress.longestGapMillis() > of.maxEventGapMillis());
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/SendTerms.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/SendTerms.java
@@ -17,9 +17,9 @@
  */
 public record SendTerms(
         String serverId,
-        long leftMillis,
+        long remainingMillis,
         Optional<String> workspace,
         int priority,
-        OptionalLong afterEvent,
+        OptionalLong resumeAfterEvent,
         Optional<InetSocketAddress> fetchFrom,
         Optional<String> weightsVersion) {}
--- a/gateway/src/main/java/org/tanagerhinge/gateway/StoreFeed.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/StoreFeed.java
@@ -24,16 +24,16 @@
 final class StoreFeed {
     private static final Logger LOG = System.getLogger(StoreFeed.class.getName());
     /** How often the servers are read, in milliseconds: well under the bound for servers that leave. */
-    private static final int SERVERS_MILLIS = 800;
+    private static final int SERVERS_POLL_MILLIS = 800;
     /**
      * A list that is older than this and the time between two reports is read again also by a gateway that doesn't read
      * for all: its peers seem to fail it.
      */
-    private static final long OLD_LIST_MILLIS = 1_150;
+    private static final long STALE_LIST_MILLIS = 1_150;
     /** How long a watch waits: a connection that has fallen silent must show within the bound of configuration. */
-    private static final long WATCH_MILLIS = 1_500;
+    private static final long WATCH_WAIT_MILLIS = 1_500;
     /** Pause before the next watch after a change, so that versions in quick succession are taken in together. */
-    private static final int SETTLE_MILLIS = 150;
+    private static final int CHANGE_BATCH_MILLIS = 150;
     /** How long a call may take, in milliseconds: five times as long as one to a store that is 75 times slower than usual. */
     private static final long TIMEOUT_MILLIS = 1_500;
     /**
@@ -41,32 +41,32 @@
      * doesn't answer the calls that were made during it, and each moment until the next one is time in which callers are
      * refused. Three times what such a call takes on a host with a quarter of a core that has just started.
      */
-    private static final long FIRST_TIMEOUT_MILLIS = 800;
+    private static final long INITIAL_TIMEOUT_MILLIS = 800;
     /** Pause after a failed call, in milliseconds. */
-    private static final int FAILED_MILLIS = 250;
+    private static final int RETRY_MILLIS = 250;
     /** The same of a gateway that can serve nobody yet. */
-    private static final int FIRST_FAILED_MILLIS = 100;
+    private static final int INITIAL_RETRY_MILLIS = 100;
     /** Least time between two such calls of a gateway that its peers fail: many reports may tell it of the same version. */
-    private static final long CATCH_UP_MILLIS = 400;
+    private static final long MIN_CATCH_UP_INTERVAL_MILLIS = 400;
     /** How often a gateway that doesn't read looks whether it has to, in milliseconds. */
-    private static final int IDLE_MILLIS = 200;
+    private static final int STANDBY_CHECK_MILLIS = 200;
 
     /** Unreadable entries of one list that are told of: a writer may leave any number. */
-    private static final int MOST_UNREADABLE = 20;
+    private static final int MAX_UNREADABLE_LOGGED = 20;
 
-    private static final Duration LEASE = Duration.ofSeconds(12);
+    private static final Duration LEASE_TTL = Duration.ofSeconds(12);
     /** How often the lease is kept: a few may fail before it ends. */
-    private static final int KEEP_MILLIS = 3_000;
+    private static final int KEEP_ALIVE_MILLIS = 3_000;
 
     private final Gateway gateway;
     private final MetadataStore store;
     private final Peers peers;
     private long revision = -1;
     private boolean watching;
-    private long lease;
-    private long nextCatchUp = Long.MIN_VALUE;
-    private boolean storeAnswers = true;
-    private List<MetadataStore.UnreadableEntry> unreadable = List.of();
+    private long leaseId;
+    private long nextCatchUpMillis = Long.MIN_VALUE;
+    private boolean storeReachable = true;
+    private List<MetadataStore.UnreadableEntry> loggedUnreadable = List.of();
 
     private StoreFeed(Gateway gateway, MetadataStore store, Peers peers) {
         this.gateway = gateway;
@@ -77,39 +77,39 @@
     /** Starts to read; returns at once. */
     static StoreFeed start(Gateway gateway, MetadataStore store, Peers peers) {
         StoreFeed feed = new StoreFeed(gateway, store, peers);
-        peers.storeAnswers(() -> feed.storeAnswers);
-        peers.onBehind(feed::catchUp);
-        feed.step(feed::readConfig);
-        feed.step(feed::join);
-        feed.step(feed::readServers);
-        feed.step(feed::readHeld);
-        gateway.onHeld(feed::hold);
+        peers.storeReachable(() -> feed.storeReachable);
+        peers.onConfigFetchFailed(feed::catchUp);
+        feed.runGuarded(feed::readConfig);
+        feed.runGuarded(feed::register);
+        feed.runGuarded(feed::readServers);
+        feed.runGuarded(feed::readQuarantine);
+        gateway.onQuarantine(feed::quarantine);
         return feed;
     }
 
     private long timeoutMillis() {
-        return gateway.informed() ? TIMEOUT_MILLIS : FIRST_TIMEOUT_MILLIS;
+        return gateway.initialized() ? TIMEOUT_MILLIS : INITIAL_TIMEOUT_MILLIS;
     }
 
-    private int failedMillis() {
-        return gateway.informed() ? FAILED_MILLIS : FIRST_FAILED_MILLIS;
+    private int retryMillis() {
+        return gateway.initialized() ? RETRY_MILLIS : INITIAL_RETRY_MILLIS;
     }
 
-    private boolean reads() {
-        return peers.table().isStoreReader(storeAnswers, gateway.now());
+    private boolean isReader() {
+        return peers.table().isStoreReader(storeReachable, gateway.nowMillis());
     }
 
-    private void servers() {
-        long age = gateway.now() - gateway.directory().newestListMillis();
-        boolean old = !gateway.directory().hasList() || age > OLD_LIST_MILLIS + peers.intervalMillis();
-        boolean reads = reads();
-        if (old && !reads && gateway.informed()) {
+    private void pollServers() {
+        long age = gateway.nowMillis() - gateway.directory().newestListMillis();
+        boolean old = !gateway.directory().hasList() || age > STALE_LIST_MILLIS + peers.intervalMillis();
+        boolean reads = isReader();
+        if (old && !reads && gateway.initialized()) {
             catchUp();
         }
         if (old || reads) {
             readServers();
         } else {
-            later(this::servers, IDLE_MILLIS);
+            schedule(this::pollServers, STANDBY_CHECK_MILLIS);
         }
     }
 
@@ -120,90 +120,90 @@
      * tell of a version and can't be asked for it.
      */
     private void catchUp() {
-        long now = gateway.now();
-        if (now < nextCatchUp) {
+        long now = gateway.nowMillis();
+        if (now < nextCatchUpMillis) {
             return;
         }
-        nextCatchUp = now + CATCH_UP_MILLIS;
-        store.config(timeoutMillis(), reply -> {
+        nextCatchUpMillis = now + MIN_CATCH_UP_INTERVAL_MILLIS;
+        store.readConfig(timeoutMillis(), reply -> {
             if (reply instanceof MetadataStore.Answer<MetadataStore.StoredConfig> answer) {
-                heard();
+                markReachable();
                 if (answer.value().document() != null) {
                     apply(answer.value().document());
                 }
             } else {
-                failedUnlessGone(reply);
+                recordFailure(reply);
             }
         });
     }
 
     private void readServers() {
-        long asked = gateway.now();
-        store.servers(timeoutMillis(), taking(this::servers, reply -> {
+        long asked = gateway.nowMillis();
+        store.listServers(timeoutMillis(), guarded(this::pollServers, reply -> {
             if (reply instanceof MetadataStore.Answer<MetadataStore.Listing> answer) {
-                heard();
-                tellUnreadable(answer.value().unreadable());
+                markReachable();
+                logUnreadable(answer.value().unreadable());
                 if (gateway.apply(answer.value().servers(), asked)) {
-                    peers.tellNow();
+                    peers.reportNow();
                 }
                 boolean empty = gateway.directory().all().isEmpty();
-                later(this::servers, empty ? FAILED_MILLIS : SERVERS_MILLIS);
+                schedule(this::pollServers, empty ? RETRY_MILLIS : SERVERS_POLL_MILLIS);
                 return;
             }
-            failedUnlessGone(reply);
-            later(this::servers, failedMillis());
+            recordFailure(reply);
+            schedule(this::pollServers, retryMillis());
         }));
     }
 
     /** Tells of each entry that can't be read once, for as long as it stays as it is. */
-    private void tellUnreadable(List<MetadataStore.UnreadableEntry> entries) {
-        List<MetadataStore.UnreadableEntry> some = entries.subList(0, Math.min(MOST_UNREADABLE, entries.size()));
+    private void logUnreadable(List<MetadataStore.UnreadableEntry> entries) {
+        List<MetadataStore.UnreadableEntry> some = entries.subList(0, Math.min(MAX_UNREADABLE_LOGGED, entries.size()));
         for (MetadataStore.UnreadableEntry entry : some) {
-            if (!unreadable.contains(entry)) {
+            if (!loggedUnreadable.contains(entry)) {
                 gateway.count("entry_unreadable");
                 LogLine.failure(LogEvent.ENTRY_UNREADABLE)
                         .with(LogField.KEY, entry.key())
-                        .with(LogField.WHY, entry.why())
+                        .with(LogField.WHY, entry.reason())
                         .write();
             }
         }
-        unreadable = some;
+        loggedUnreadable = some;
     }
 
-    private void config() {
-        if (gateway.config().isPresent() && !reads()) {
+    private void watchConfig() {
+        if (gateway.config().isPresent() && !isReader()) {
             watching = false;
-            later(this::config, IDLE_MILLIS);
+            schedule(this::watchConfig, STANDBY_CHECK_MILLIS);
         } else if (watching) {
-            store.configAfter(revision, WATCH_MILLIS, taking(this::config, this::takeConfig));
+            store.watchConfig(revision, WATCH_WAIT_MILLIS, guarded(this::watchConfig, this::handleConfig));
         } else {
             readConfig();
         }
     }
 
     private void readConfig() {
-        store.config(timeoutMillis(), taking(this::config, this::takeConfig));
+        store.readConfig(timeoutMillis(), guarded(this::watchConfig, this::handleConfig));
     }
 
-    private void takeConfig(MetadataStore.Reply<MetadataStore.StoredConfig> reply) {
+    private void handleConfig(MetadataStore.Reply<MetadataStore.StoredConfig> reply) {
         if (reply instanceof MetadataStore.Answer<MetadataStore.StoredConfig> answer) {
-            heard();
+            markReachable();
             MetadataStore.StoredConfig stored = answer.value();
             revision = Math.max(revision, stored.revision());
             watching = gateway.config().isPresent() || stored.document() != null;
             if (stored.document() == null) {
-                later(this::config, watching ? 1 : FAILED_MILLIS);
+                schedule(this::watchConfig, watching ? 1 : RETRY_MILLIS);
             } else {
                 apply(stored.document());
-                later(this::config, SETTLE_MILLIS);
+                schedule(this::watchConfig, CHANGE_BATCH_MILLIS);
             }
             return;
         }
         watching = false;
-        if (failedUnlessGone(reply)) {
-            later(this::config, failedMillis());
+        if (recordFailure(reply)) {
+            schedule(this::watchConfig, retryMillis());
         } else {
-            config();
+            watchConfig();
         }
     }
 
@@ -211,9 +211,9 @@
      * Notes a failed call; returns whether it was one, and not one for history that is gone. These replies are told apart
      * by tests and not by a pattern switch, which costs a restarted gateway 10 ms before its first server list.
      */
-    private boolean failedUnlessGone(MetadataStore.Reply<?> reply) {
+    private boolean recordFailure(MetadataStore.Reply<?> reply) {
         if (reply instanceof MetadataStore.Failure<?> failure) {
-            failed(failure.why());
+            markUnreachable(failure.reason());
             return true;
         }
         return false;
@@ -221,114 +221,114 @@
 
     private void apply(byte[] document) {
         try {
-            if (gateway.apply(store.decode(document), document)) {
-                peers.tellNow();
+            if (gateway.apply(store.decodeConfig(document), document)) {
+                peers.reportNow();
             }
         } catch (IOException e) {
             LOG.log(Level.ERROR, "configuration cannot be read, the one in force stays: " + e.getMessage());
         }
     }
 
-    private void join() {
-        store.join(gateway.options().name(), peers.address(), LEASE, taking(this::join, reply -> {
+    private void register() {
+        store.registerGateway(gateway.options().name(), peers.address(), LEASE_TTL, guarded(this::register, reply -> {
             if (reply instanceof MetadataStore.Answer<Long> answer) {
-                heard();
-                lease = answer.value();
+                markReachable();
+                leaseId = answer.value();
                 readGateways();
-                later(this::keep, KEEP_MILLIS);
+                schedule(this::keepLeaseAlive, KEEP_ALIVE_MILLIS);
             } else {
-                failed("could not join");
-                later(this::join, FAILED_MILLIS * 2);
+                markUnreachable("could not join");
+                schedule(this::register, RETRY_MILLIS * 2);
             }
         }));
     }
 
-    private void keep() {
-        store.keep(lease, taking(this::keep, reply -> {
+    private void keepLeaseAlive() {
+        store.keepAlive(leaseId, guarded(this::keepLeaseAlive, reply -> {
             if (reply instanceof MetadataStore.Answer<Boolean> answer) {
-                heard();
+                markReachable();
                 if (answer.value()) {
-                    if (!peers.table().anyPresent(gateway.now())) {
+                    if (!peers.table().anyPresent(gateway.nowMillis())) {
                         readGateways();
                     }
-                    later(this::keep, KEEP_MILLIS);
+                    schedule(this::keepLeaseAlive, KEEP_ALIVE_MILLIS);
                 } else {
-                    join();
+                    register();
                 }
             } else {
-                failed("lease could not be kept");
-                later(this::keep, FAILED_MILLIS * 4);
+                markUnreachable("lease could not be kept");
+                schedule(this::keepLeaseAlive, RETRY_MILLIS * 4);
             }
         }));
     }
 
     /** Requests that end servers outlast the gateways that found them: all may lose power together. */
-    private void readHeld() {
-        store.held(taking(this::readHeld, reply -> {
+    private void readQuarantine() {
+        store.listQuarantined(guarded(this::readQuarantine, reply -> {
             if (reply instanceof MetadataStore.Answer<List<RequestFingerprint>> answer) {
-                heard();
-                answer.value().forEach(gateway::held);
+                markReachable();
+                answer.value().forEach(gateway::quarantinedInStore);
             } else {
-                later(this::readHeld, FAILED_MILLIS * 2);
+                schedule(this::readQuarantine, RETRY_MILLIS * 2);
             }
         }));
     }
 
-    private void hold(RequestFingerprint request) {
-        if (gateway.quarantine().heldMillis(request, gateway.now()).isEmpty()) {
+    private void quarantine(RequestFingerprint request) {
+        if (gateway.quarantine().heldMillis(request, gateway.nowMillis()).isEmpty()) {
             return;
         }
-        store.hold(request, Duration.ofMillis(Quarantine.HOLD_MILLIS), reply -> {
+        store.quarantine(request, Duration.ofMillis(Quarantine.HOLD_MILLIS), reply -> {
             if (reply instanceof MetadataStore.Answer<Long>) {
-                heard();
+                markReachable();
             } else {
-                later(() -> hold(request), FAILED_MILLIS * 4);
+                schedule(() -> quarantine(request), RETRY_MILLIS * 4);
             }
         });
     }
 
     private void readGateways() {
-        store.gateways(reply -> {
+        store.listGateways(reply -> {
             if (reply instanceof MetadataStore.Answer<List<String>> answer) {
-                heard();
+                markReachable();
                 peers.addresses(answer.value());
             }
         });
     }
 
-    private void heard() {
-        if (!storeAnswers) {
-            storeAnswers = true;
+    private void markReachable() {
+        if (!storeReachable) {
+            storeReachable = true;
             LogLine.of(LogEvent.STORE_BACK).write();
         }
     }
 
-    private void failed(String why) {
+    private void markUnreachable(String why) {
         gateway.count("store_call_failed");
-        if (storeAnswers) {
-            storeAnswers = false;
+        if (storeReachable) {
+            storeReachable = false;
             LogLine.failure(LogEvent.STORE_LOST).with(LogField.WHY, why).write();
-            peers.tellNow();
+            peers.reportNow();
         }
     }
 
     /** Returns what takes a reply of the store; if it throws, its loop goes on with a step after a pause. */
-    private <T> Consumer<MetadataStore.Reply<T>> taking(Runnable step, Consumer<MetadataStore.Reply<T>> taker) {
+    private <T> Consumer<MetadataStore.Reply<T>> guarded(Runnable step, Consumer<MetadataStore.Reply<T>> taker) {
         return reply -> {
-            if (!gateway.survives(() -> taker.accept(reply))) {
-                later(step, failedMillis());
+            if (!gateway.runGuarded(() -> taker.accept(reply))) {
+                schedule(step, retryMillis());
             }
         };
     }
 
     /** Runs a step of a loop; if it throws, it is tried again after a pause. */
-    private void step(Runnable task) {
-        if (!gateway.survives(task)) {
-            later(task, failedMillis());
+    private void runGuarded(Runnable task) {
+        if (!gateway.runGuarded(task)) {
+            schedule(task, retryMillis());
         }
     }
 
-    private void later(Runnable task, int millis) {
-        gateway.schedule(() -> step(task), millis + ThreadLocalRandom.current().nextInt(millis / 5 + 1));
+    private void schedule(Runnable task, int millis) {
+        gateway.schedule(() -> runGuarded(task), millis + ThreadLocalRandom.current().nextInt(millis / 5 + 1));
     }
 }
--- a/gateway/src/test/java/org/tanagerhinge/gateway/EventSplitterTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/EventSplitterTest.java
@@ -36,7 +36,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void anyCutOfTheBytesGivesTheSameEvents(long seed) {
+    void eventsAreTheSameForAnyChunking(long seed) {
         Random random = new Random(seed);
         StringBuilder all = new StringBuilder();
         List<Read> expected = new ArrayList<>();
@@ -63,22 +63,22 @@
             at += length;
         }
         assertEquals(expected, events);
-        assertFalse(splitter.partial());
+        assertFalse(splitter.hasPartialEvent());
         splitter.release();
     }
 
     @Test
-    void aPartOfAnEventIsKeptBack() {
+    void partialEventIsHeldUntilComplete() {
         EventSplitter splitter = splitter();
         assertEquals(List.of(new Read(1, "id: 1\n\n")), feed(splitter, "id: 1\n\nid: 2\ndata: ha"));
-        assertTrue(splitter.partial());
+        assertTrue(splitter.hasPartialEvent());
         assertEquals(List.of(new Read(2, "id: 2\ndata: half\n\n")), feed(splitter, "lf\n\n"));
-        assertFalse(splitter.partial());
+        assertFalse(splitter.hasPartialEvent());
         splitter.release();
     }
 
     @Test
-    void anEventWithoutANumberHasNone() {
+    void eventWithoutNumericIdHasIdMinusOne() {
         EventSplitter splitter = splitter();
         assertEquals(List.of(new Read(-1, "data: x\n\n")), feed(splitter, "data: x\n\n"));
         assertEquals(List.of(new Read(-1, "id: x\n\n")), feed(splitter, "id: x\n\n"));
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void whatNeverEndsIsTooLarge() {
+    void unterminatedEventIsOversized() {
         EventSplitter splitter = splitter();
         feed(splitter, "x".repeat((1 << 20) + 1));
         assertTrue(splitter.oversized());
--- a/gateway/src/test/java/org/tanagerhinge/gateway/LoopsTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/LoopsTest.java
@@ -44,7 +44,7 @@
  * </pre>
  */
 class LoopsTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
+    private static final Duration CONDITION_TIMEOUT = Duration.ofSeconds(30);
 
     /** What a store's caller can't take: the answer to a call holds nothing, or the call throws. */
     enum Fault {
@@ -55,11 +55,11 @@
     /** A store that serves, but for one call of one kind. */
     private static final class FaultyStore implements MetadataStore {
         private final Map<String, AtomicInteger> calls = new ConcurrentHashMap<>();
-        private final String faulty;
+        private final String faultyCall;
         private final Fault fault;
 
         FaultyStore(String faulty, Fault fault) {
-            this.faulty = faulty;
+            this.faultyCall = faulty;
             this.fault = fault;
         }
 
@@ -68,9 +68,9 @@
         }
 
         /** The second call of the faulty kind fails. */
-        private <T> void answer(String kind, T value, Consumer<Reply<T>> done) {
+        private <T> void reply(String kind, T value, Consumer<Reply<T>> done) {
             int count = calls.computeIfAbsent(kind, name -> new AtomicInteger()).incrementAndGet();
-            if (count == 2 && kind.equals(faulty)) {
+            if (count == 2 && kind.equals(faultyCall)) {
                 if (fault == Fault.THROWN) {
                     throw new IllegalStateException("deliberate");
                 }
@@ -81,63 +81,63 @@
         }
 
         @Override
-        public void servers(long timeoutMillis, Consumer<Reply<Listing>> done) {
-            answer("servers", new Listing(List.of(), List.of()), done);
+        public void listServers(long timeoutMillis, Consumer<Reply<Listing>> done) {
+            reply("servers", new Listing(List.of(), List.of()), done);
         }
 
         @Override
-        public void config(long timeoutMillis, Consumer<Reply<StoredConfig>> done) {
-            answer("config", new StoredConfig(1, new byte[0]), done);
+        public void readConfig(long timeoutMillis, Consumer<Reply<StoredConfig>> done) {
+            reply("config", new StoredConfig(1, new byte[0]), done);
         }
 
         @Override
-        public void configAfter(long revision, long waitMillis, Consumer<Reply<StoredConfig>> done) {
-            answer("watch", new StoredConfig(revision, new byte[0]), done);
+        public void watchConfig(long revision, long waitMillis, Consumer<Reply<StoredConfig>> done) {
+            reply("watch", new StoredConfig(revision, new byte[0]), done);
         }
 
         @Override
-        public RelayConfig decode(byte[] document) {
+        public RelayConfig decodeConfig(byte[] document) {
             return RelayConfig.of(1, List.of(), List.of(), Map.of(), CallerLimits.DEFAULT);
         }
 
         @Override
-        public void join(String name, String address, Duration lease, Consumer<Reply<Long>> done) {
-            answer("join", 7L, done);
+        public void registerGateway(String name, String address, Duration lease, Consumer<Reply<Long>> done) {
+            reply("join", 7L, done);
         }
 
         @Override
-        public void keep(long lease, Consumer<Reply<Boolean>> done) {
-            answer("keep", false, done);
+        public void keepAlive(long lease, Consumer<Reply<Boolean>> done) {
+            reply("keep", false, done);
         }
 
         @Override
-        public void gateways(Consumer<Reply<List<String>>> done) {
-            answer("gateways", List.of(), done);
+        public void listGateways(Consumer<Reply<List<String>>> done) {
+            reply("gateways", List.of(), done);
         }
 
         @Override
-        public void hold(RequestFingerprint request, Duration time, Consumer<Reply<Long>> done) {
-            answer("hold", 7L, done);
+        public void quarantine(RequestFingerprint request, Duration time, Consumer<Reply<Long>> done) {
+            reply("hold", 7L, done);
         }
 
         @Override
-        public void held(Consumer<Reply<List<RequestFingerprint>>> done) {
-            answer("held", List.of(), done);
+        public void listQuarantined(Consumer<Reply<List<RequestFingerprint>>> done) {
+            reply("held", List.of(), done);
         }
     }
 
     /** Reads and writes nothing. */
     private static final class NoDialect implements Dialect {
         @Override
-        public CallerTerms callerTerms(HttpRequest request) {
+        public CallerTerms callerMetadata(HttpRequest request) {
             return new CallerTerms("", OptionalLong.empty(), Optional.empty(), Prompt.NONE, 0);
         }
 
         @Override
-        public void prepare(HttpHeaders headers, SendTerms terms) {}
+        public void prepareBackendRequest(HttpHeaders headers, SendTerms terms) {}
 
         @Override
-        public AnswerTerms answerTerms(HttpResponse response) {
+        public AnswerTerms responseMetadata(HttpResponse response) {
             return new AnswerTerms("", false, false, Optional.empty(), Optional.empty(), false, OptionalLong.empty());
         }
 
@@ -166,8 +166,8 @@
                 options, new NoDialect(), LeastInFlightPlacement.create(), loop -> store, noDuties, Optional.empty());
     }
 
-    private static boolean comesToHold(BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + PATIENCE.toNanos();
+    private static boolean becomesTrue(BooleanSupplier condition) throws InterruptedException {
+        long until = System.nanoTime() + CONDITION_TIMEOUT.toNanos();
         while (!condition.getAsBoolean() && System.nanoTime() - until < 0) {
             Thread.sleep(10);
         }
@@ -183,11 +183,11 @@
         "keep, THROWN",
         "join, THROWN"
     })
-    void aLoopGoesOnAfterAStepThatThrew(String kind, Fault fault) throws InterruptedException {
+    void storeLoopContinuesAfterAStepThrows(String kind, Fault fault) throws InterruptedException {
         FaultyStore store = new FaultyStore(kind, fault);
         GatewayDaemon gateway = start(store);
         try {
-            assertTrue(comesToHold(() -> store.calls(kind) > 3), "calls: " + store.calls(kind));
+            assertTrue(becomesTrue(() -> store.calls(kind) > 3), "calls: " + store.calls(kind));
             assertTrue(gateway.metrics().text().contains("reason=\"task_failed\""), "and is told of");
         } finally {
             gateway.close();
@@ -196,7 +196,7 @@
 
     /** Reports to peers and the sweep of connections are loops as well. */
     @Test
-    void reportsAndTheSweepGoOnAfterAnythingThrew() throws InterruptedException {
+    void repeatedTaskContinuesAfterThrowing() throws InterruptedException {
         EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             Gateway gateway = Gateway.create(
@@ -222,7 +222,7 @@
                         }
                     },
                     () -> 5L);
-            assertTrue(comesToHold(() -> steps.get() > 4));
+            assertTrue(becomesTrue(() -> steps.get() > 4));
         } finally {
             loop.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
         }
--- a/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
@@ -18,18 +18,18 @@
 /** What gateways tell each other, as it goes over the wire. */
 class PeerCodecTest {
     /** What a node may spend on control a second at the target, in bytes; news goes to each of 409 peers three times. */
-    private static final int CONTROL_BYTES_A_SECOND = 21_000;
+    private static final int CONTROL_BYTES_PER_SECOND = 21_000;
 
     private static final PeerReport REPORT =
             new PeerReport("gateway-0", 1, 2, "127.0.0.1:7200", true, 3, 4, 5, 250, Map.of(), Map.of());
 
-    private static PeerCodec.Told told(List<Quarantine.Suspicion> suspicions, List<String> leaving) {
+    private static PeerCodec.Told message(List<Quarantine.Suspicion> suspicions, List<String> leaving) {
         return new PeerCodec.Told(
                 REPORT, List.of(), suspicions, leaving, new DutyAnnouncement(1_700_000_000_123L, 150, 412));
     }
 
     @Test
-    void suspicionsAndServersThatLeaveComeAsTheyWent() throws InvalidProtocolBufferException {
+    void suspicionsAndLeavingServersSurviveRoundTrip() throws InvalidProtocolBufferException {
         List<Quarantine.Suspicion> suspicions = List.of(
                 new Quarantine.Suspicion(
                         new RequestFingerprint(-1, Long.MIN_VALUE),
@@ -37,13 +37,13 @@
                         Optional.empty(),
                         Quarantine.HOLD_MILLIS),
                 new Quarantine.Suspicion(new RequestFingerprint(0, 0), List.of(), Optional.of(0L), 0));
-        PeerCodec.Told sent = told(suspicions, List.of("i-1@2", "i-2"));
+        PeerCodec.Told sent = message(suspicions, List.of("i-1@2", "i-2"));
         assertEquals(sent, PeerCodec.state(PeerCodec.state(sent)));
     }
 
     /** All that was in progress at an engine of 128 places is news for one report after the other, beside servers that leave. */
     @Test
-    void theMostThatOneReportTellsOfServersAndRequestsIsWellUnderASecondsShare() {
+    void largestReportStaysUnderAQuarterOfTheControlBandwidth() {
         Quarantine quarantine = Quarantine.create();
         ServerAnnouncements words = ServerAnnouncements.create();
         for (int i = 0; i < 128; i++) {
@@ -54,8 +54,8 @@
         }
         List<Quarantine.Suspicion> all = new ArrayList<>(quarantine.news(1_000_000));
         all.addAll(quarantine.standing(1_000_000));
-        int bytes = PeerCodec.state(told(all, words.nextLeavingReport())).length
-                - PeerCodec.state(told(List.of(), List.of())).length;
-        assertTrue(bytes < CONTROL_BYTES_A_SECOND / 4, bytes + " bytes");
+        int bytes = PeerCodec.state(message(all, words.nextLeavingReport())).length
+                - PeerCodec.state(message(List.of(), List.of())).length;
+        assertTrue(bytes < CONTROL_BYTES_PER_SECOND / 4, bytes + " bytes");
     }
 }
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/JsonCallerTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/JsonCallerTest.java
@@ -22,7 +22,7 @@
 
     private final StoreStandin store = StoreStandin.start(0);
     private final EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final JsonCaller caller = JsonCaller.to(loop, store.address());
+    private final JsonCaller caller = JsonCaller.of(loop, store.address());
     private final List<String> heard = new CopyOnWriteArrayList<>();
 
     @AfterEach
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayScene.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayScene.java
@@ -79,7 +79,7 @@
                 PromptAwarePlacement.create(),
                 new PlatformGateway.Addresses(storeAddress, Optional.of(duties.address())));
         gateways.add(gateway);
-        peerAddresses.put(gateway, options.peers());
+        peerAddresses.put(gateway, options.peerAddress());
         return gateway;
     }
 
