--- a/core/src/main/java/org/tanagerhinge/core/relay/Mechanism.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/Mechanism.java
@@ -24,7 +24,7 @@
     FETCH,
     /** Load and demand that the other nodes tell of count. */
     PEER_LOAD,
-    /** Servers that fail are left out for a while ({@link ServerHealth}), and those that owe events and say nothing. */
+    /** ServerSnapshot that fail are left out for a while ({@link ServerHealth}), and those that owe events and say nothing. */
     EJECTION,
     /** An ejected server gets a single request before it gets ordinary work again. */
     PROBING,
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServerAnnouncements.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerAnnouncements.java
@@ -16,11 +16,11 @@
 public final class ServerAnnouncements {
     /** How long it is remembered that a server leaves: longer than one takes to do so, in milliseconds. */
     static final long LEAVING_TTL_MILLIS = 600_000;
-    /** Servers whose words are remembered at the most; the oldest words make room. */
+    /** ServerSnapshot whose words are remembered at the most; the oldest words make room. */
     static final int MAX_SERVERS = 1_024;
     /** How often a node tells the others of a server that leaves: datagrams are lost. */
     private static final int REPORTS_PER_ANNOUNCEMENT = 3;
-    /** Servers told in one report at the most. */
+    /** ServerSnapshot told in one report at the most. */
     static final int MAX_SERVERS_PER_REPORT = 16;
 
     private final Map<String, Announcement> announcementByInstanceId = new LinkedHashMap<>();
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
@@ -37,9 +37,9 @@
     /** Share of a server's idle time up to which a connection is used: its close must not cross a request. */
     private static final double REUSABLE_IDLE_SHARE = 0.6;
 
-    private final BackendPool pool;
+    private final BackendConnectionPool pool;
     private final ServerInstance server;
-    private final AnswerDecoder decoder = new AnswerDecoder();
+    private final ResponseDecoder decoder = new ResponseDecoder();
     private Channel channel;
     private AttemptListener activeListener;
     private String attemptId = "";
@@ -51,7 +51,7 @@
     private long idleTimeoutMillis = DEFAULT_IDLE_TIMEOUT_MILLIS;
     private long idleSinceMillis;
 
-    BackendConnection(BackendPool pool, ServerInstance server) {
+    BackendConnection(BackendConnectionPool pool, ServerInstance server) {
         this.pool = pool;
         this.server = server;
     }
@@ -100,7 +100,7 @@
      */
     void detach(Runnable broken) {
         if (activeListener != null) {
-            activeListener = new Discarding(broken);
+            activeListener = new DiscardingListener(broken);
         }
     }
 
@@ -140,7 +140,7 @@
             skipping = true;
             return;
         }
-        AnswerTerms terms = pool.dialect().responseMetadata(response);
+        BackendResponseMetadata terms = pool.dialect().responseMetadata(response);
         if (response.status().code() != MISDIRECTED_REQUEST) {
             pool.responseReceived(server, response.status().code(), terms);
         }
@@ -239,10 +239,10 @@
     }
 
     /** Decodes answers, of which those to HEAD requests have no body. */
-    private static final class AnswerDecoder extends HttpResponseDecoder {
+    private static final class ResponseDecoder extends HttpResponseDecoder {
         private boolean headOnly;
 
-        AnswerDecoder() {
+        ResponseDecoder() {
             super(MAX_INITIAL_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES);
         }
 
@@ -257,9 +257,9 @@
     }
 
     /** Takes an answer that nobody waits for. */
-    private record Discarding(Runnable broken) implements AttemptListener {
+    private record DiscardingListener(Runnable broken) implements AttemptListener {
         @Override
-        public void responseHead(HttpResponse response, AnswerTerms terms) {}
+        public void responseHead(HttpResponse response, BackendResponseMetadata terms) {}
 
         @Override
         public void responseBody(ByteBuf bytes) {}
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendPool.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnectionPool.java
@@ -20,7 +20,7 @@
 import org.tanagerhinge.core.relay.ServerInstance;
 
 /** Connections to backend servers, kept by the life of a server, since an address may be used again by another one. */
-final class BackendPool {
+final class BackendConnectionPool {
     /** A lost opening packet is sent again after a second: another server is the better choice by then. */
     private static final int CONNECT_TIMEOUT_MILLIS = 600;
     /** Keep-alive probes: a peer that lost power or fell silent shows after about three seconds. */
@@ -34,12 +34,12 @@
     private final Dialect dialect;
     private final LongSupplier clock;
     private final Consumer<String> counter;
-    private final AnswerHearer responseListener;
+    private final ResponseListener responseListener;
     private final Map<String, Deque<BackendConnection>> idle = new HashMap<>();
     private final Map<String, Set<BackendConnection>> all = new HashMap<>();
 
-    BackendPool(
-            EventLoopGroup loop, Dialect dialect, LongSupplier clock, Consumer<String> counter, AnswerHearer hearer) {
+    BackendConnectionPool(
+            EventLoopGroup loop, Dialect dialect, LongSupplier clock, Consumer<String> counter, ResponseListener hearer) {
         this.loop = loop;
         this.dialect = dialect;
         this.clock = clock;
@@ -48,11 +48,11 @@
     }
 
     /** Hears what each answer says of its server, whoever the answer is for. */
-    interface AnswerHearer {
-        void responseReceived(ServerInstance server, int status, AnswerTerms terms);
+    interface ResponseListener {
+        void responseReceived(ServerInstance server, int status, BackendResponseMetadata terms);
     }
 
-    void responseReceived(ServerInstance server, int status, AnswerTerms terms) {
+    void responseReceived(ServerInstance server, int status, BackendResponseMetadata terms) {
         responseListener.responseReceived(server, status, terms);
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/SendTerms.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendRequestMetadata.java
@@ -15,7 +15,7 @@
  * @param fetchFrom another server of the service from which it may take what that one holds of the prompt
  * @param weightsVersion the version of the weights that an answer was begun with, to be gone on with
  */
-public record SendTerms(
+public record BackendRequestMetadata(
         String serverId,
         long remainingMillis,
         Optional<String> workspace,
--- a/gateway/src/main/java/org/tanagerhinge/gateway/AnswerTerms.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendResponseMetadata.java
@@ -14,7 +14,7 @@
  * @param leaving whether the server says that it leaves
  * @param retryAfterMillis for how long the server wants nothing, if it tells
  */
-public record AnswerTerms(
+public record BackendResponseMetadata(
         String attemptId,
         boolean sealed,
         boolean notExecuted,
--- a/gateway/src/main/java/org/tanagerhinge/gateway/CallerConnection.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/CallerConnection.java
@@ -217,7 +217,7 @@
 
     /** Answers a request that wasn't read whole, so that there is no exchange to tell of it. */
     private void refuseUnread(Refusal refusal) {
-        RequestTrail.of(gateway, "", gateway.nowMillis()).refused(refusal);
+        RequestTelemetry.of(gateway, "", gateway.nowMillis()).refused(refusal);
         refuse(refusal);
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/CallerTerms.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/CallerMetadata.java
@@ -12,5 +12,5 @@
  * @param key the caller's key, if it gave one
  * @param lastEventId the event after which a stream goes on; 0 for its beginning
  */
-public record CallerTerms(
+public record CallerMetadata(
         String attemptId, OptionalLong timeoutMillis, Optional<String> key, Prompt prompt, long lastEventId) {}
--- a/gateway/src/main/java/org/tanagerhinge/gateway/EndedServers.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/CrashDetector.java
@@ -15,7 +15,7 @@
  * that are not suspected. So the server is asked for a new connection, which a server that has ended doesn't take; one that is
  * made is kept for the next request.
  */
-final class EndedServers {
+final class CrashDetector {
     /** Requests that are held responsible for one end at the most: as many as a large server runs at once. */
     private static final int MAX_SUSPECTS = 128;
     /** Other connections to a server that has ended break within this time of the first one, in milliseconds. */
@@ -32,7 +32,7 @@
         }
     };
 
-    EndedServers(Gateway gateway) {
+    CrashDetector(Gateway gateway) {
         this.gateway = gateway;
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Dialect.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Dialect.java
@@ -7,7 +7,7 @@
 /** The names that callers and backend servers use on the wire, read and written in one place. */
 public interface Dialect {
     /** Reads what a caller tells in its request's head. */
-    CallerTerms callerMetadata(HttpRequest request);
+    CallerMetadata callerMetadata(HttpRequest request);
 
     /**
      * Makes the headers of a request to a backend server: takes out what only the relay may set and what the server
@@ -15,10 +15,10 @@
      *
      * @param headers the caller's headers without those of its connection; changed in place
      */
-    void prepareBackendRequest(HttpHeaders headers, SendTerms terms);
+    void prepareBackendRequest(HttpHeaders headers, BackendRequestMetadata terms);
 
     /** Reads what a backend server tells in its answer's head. */
-    AnswerTerms responseMetadata(HttpResponse response);
+    BackendResponseMetadata responseMetadata(HttpResponse response);
 
     /** Returns the path at which the platform asks whether this node takes new connections. */
     String readinessPath();
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Duties.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/DutyParticipant.java
@@ -28,8 +28,8 @@
 import org.tanagerhinge.core.relay.PeerTable;
 
 /** A gateway's part in the duties that one gateway does for all: counts, tells the holder, holds. On the event loop. */
-final class Duties {
-    private static final Logger LOG = System.getLogger(Duties.class.getName());
+final class DutyParticipant {
+    private static final Logger LOG = System.getLogger(DutyParticipant.class.getName());
     /** How often it is looked what is due, in milliseconds. */
     private static final long STEP_MILLIS = 150;
     /** A node that has just started serves callers first and looks after duties then, in milliseconds. */
@@ -44,28 +44,28 @@
 
     private final Gateway gateway;
     private final EventLoopGroup loop;
-    private final Peers peers;
+    private final PeerSynchronizer peers;
     private final DutyClient port;
-    private final GatewayOptions.Duties options;
+    private final GatewayOptions.DutyOptions options;
     private final NodeClock clock;
     private final MedianClock time;
-    private final DutyLog telemetry;
+    private final DutyTelemetry telemetry;
     private final UsageCounter counter;
     private final UsageReporter reporter;
     private final Map<String, DutyAnnouncement> peerStatuses = new HashMap<>();
     private UsageDuty duty;
-    private JsonCaller holderClient;
+    private SequentialHttpClient holderClient;
     private String holderAddress = "";
     private boolean intakeClosed;
     private long drainedAtMillis = Long.MAX_VALUE;
     private volatile boolean settled;
 
-    private Duties(
+    private DutyParticipant(
             Gateway gateway,
             EventLoopGroup loop,
-            Peers peers,
+            PeerSynchronizer peers,
             DutyClient port,
-            GatewayOptions.Duties options,
+            GatewayOptions.DutyOptions options,
             InstantSource wallClock) {
         this.gateway = gateway;
         this.loop = loop;
@@ -74,7 +74,7 @@
         this.options = options;
         this.clock = new HostClock(gateway, wallClock);
         this.time = MedianClock.of(clock);
-        this.telemetry = new DutyLog(gateway);
+        this.telemetry = new DutyTelemetry(gateway);
         this.counter = UsageCounter.of(options.terms(), time, peers.incarnation());
         this.reporter = UsageReporter.of(options.terms(), clock, time, ThreadLocalRandom.current(), counter);
     }
@@ -93,14 +93,14 @@
     }
 
     /** Begins to count at once, and to look after duties a little later. */
-    static Duties start(
+    static DutyParticipant start(
             Gateway gateway,
             EventLoopGroup loop,
-            Peers peers,
+            PeerSynchronizer peers,
             DutyClient port,
-            GatewayOptions.Duties options,
+            GatewayOptions.DutyOptions options,
             InstantSource wallClock) {
-        Duties duties = new Duties(gateway, loop, peers, port, options, wallClock);
+        DutyParticipant duties = new DutyParticipant(gateway, loop, peers, port, options, wallClock);
         gateway.onExecutionStarted(duties.counter::recordStart);
         peers.exchangeDutyStatus(duties::status, duties::peerStatusReceived);
         gateway.schedule(() -> gateway.repeat(duties::step, () -> STEP_MILLIS), START_DELAY_MILLIS);
@@ -195,7 +195,7 @@
             return;
         }
         byte[] body = UsageCodec.reports(List.of(report));
-        holderClient.call(HttpMethod.POST, PeerDoor.USAGE_PATH, PROTOBUF, body, REPORT_TIMEOUT_MILLIS, answer -> {
+        holderClient.call(HttpMethod.POST, PeerRequestHandler.USAGE_PATH, PROTOBUF, body, REPORT_TIMEOUT_MILLIS, answer -> {
             if (answer.status() != 200) {
                 gateway.count("usage_not_told");
                 reporter.failed();
@@ -219,7 +219,7 @@
             holderClient.close();
         }
         try {
-            holderClient = JsonCaller.of(loop, PeerCodec.address(address));
+            holderClient = SequentialHttpClient.of(loop, PeerCodec.address(address));
             holderAddress = address;
             return true;
         } catch (InvalidProtocolBufferException e) {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/DutyLog.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/DutyTelemetry.java
@@ -8,11 +8,11 @@
 import org.tanagerhinge.node.log.LogLine;
 
 /** Tells of duties in log lines and counters. */
-final class DutyLog implements DutyListener {
+final class DutyTelemetry implements DutyListener {
     private final Gateway gateway;
     private double coverage = Double.NaN;
 
-    DutyLog(Gateway gateway) {
+    DutyTelemetry(Gateway gateway) {
         this.gateway = gateway;
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/EarlyDoor.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/EarlyListener.java
@@ -15,12 +15,12 @@
  * meanwhile would be reset and have to come back; so the socket is opened first, and they wait in its queue. The address
  * is found by a look at the file; if it can't be, the socket is opened later, once the settings were read and checked.
  */
-public final class EarlyDoor {
+public final class EarlyListener {
     private static final int BACKLOG = 1024;
     /** Begins the line with the address. Found without a pattern, whose classes cost 25 ms before the socket is open. */
     private static final String LISTEN_KEY = "listen = ";
 
-    private EarlyDoor() {}
+    private EarlyListener() {}
 
     /** Opens the socket that a settings file names, if it does so plainly and the address is free. */
     public static Optional<ServerSocketChannel> open(Path settings) {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
@@ -53,14 +53,14 @@
     private final Dialect dialect;
     private final GatewayOptions options;
     private final NodeMetrics metrics;
-    private final BackendPool pool;
+    private final BackendConnectionPool pool;
     private final ServerDirectory directory = ServerDirectory.create();
     private final PlacementPolicy placement;
     private final RetryBudget budget;
     private final RankGate rankGate = RankGate.create();
     private final ServerAnnouncements serverAnnouncements = ServerAnnouncements.create();
     private final Quarantine quarantine = Quarantine.create();
-    private final EndedServers crashDetector = new EndedServers(this);
+    private final CrashDetector crashDetector = new CrashDetector(this);
     private final Set<CallerConnection> callers = new HashSet<>();
     private final Set<RelayExchange> exchanges = new HashSet<>();
     private Optional<RelayConfig> config = Optional.empty();
@@ -86,7 +86,7 @@
         this.options = options;
         this.metrics = metrics;
         this.placement = placement;
-        this.pool = new BackendPool(loop, dialect, this::nowMillis, this::count, this::responseReceived);
+        this.pool = new BackendConnectionPool(loop, dialect, this::nowMillis, this::count, this::responseReceived);
         GatewayOptions.Bounds bounds = options.bounds();
         this.budget = RetryBudget.of(
                 bounds.retryRatio(), bounds.retrySlack(), bounds.retryWindow().toMillis());
@@ -113,7 +113,7 @@
         return dialect;
     }
 
-    BackendPool pool() {
+    BackendConnectionPool pool() {
         return pool;
     }
 
@@ -138,7 +138,7 @@
     }
 
     /** Takes what a server says of itself in an answer. */
-    private void responseReceived(ServerInstance server, int status, AnswerTerms terms) {
+    private void responseReceived(ServerInstance server, int status, BackendResponseMetadata terms) {
         long now = nowMillis();
         if (terms.leaving() && serverAnnouncements.recordLeaving(server.instanceId(), now)) {
             logServerLeaving(server.id(), "said so in an answer");
@@ -175,7 +175,7 @@
         return quarantine;
     }
 
-    EndedServers crashDetector() {
+    CrashDetector crashDetector() {
         return crashDetector;
     }
 
@@ -440,7 +440,7 @@
         }
     }
 
-    void loadReported(ServerInstance server, AnswerTerms.ServerLoad load) {
+    void loadReported(ServerInstance server, BackendResponseMetadata.ServerLoad load) {
         if (!peerLoadAvailable) {
             server.updateReportedLoad(load.running(), load.waiting());
         }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
@@ -52,7 +52,7 @@
     private final NodeMetrics metrics;
     private final GatewayOptions options;
     private volatile Duration stopTimeout;
-    private Optional<Duties> duties = Optional.empty();
+    private Optional<DutyParticipant> duties = Optional.empty();
     private Channel callerListener;
     private volatile boolean intakeClosed;
 
@@ -83,19 +83,19 @@
         Gateway gateway = Gateway.create(loop, dialect, options, metrics, placement);
         GatewayDaemon daemon = new GatewayDaemon(loop, gateway, metrics, options);
         daemon.openListeners(early);
-        MetadataStore client = MeasuredStore.of(store.apply(loop), metrics);
-        Peers peers = Peers.open(gateway, loop, document -> decode(client, document));
+        MetadataStore client = InstrumentedStore.of(store.apply(loop), metrics);
+        PeerSynchronizer peers = PeerSynchronizer.open(gateway, loop, document -> decode(client, document));
         gateway.onSent(peers::promptSent);
         daemon.duties = options.duties()
-                .map(terms -> Duties.start(gateway, loop, peers, dutyCalls.apply(loop), terms, InstantSource.system()));
+                .map(terms -> DutyParticipant.start(gateway, loop, peers, dutyCalls.apply(loop), terms, InstantSource.system()));
         daemon.openPeerListener();
         daemon.registerGauges(peers);
-        loop.next().execute(() -> StoreFeed.start(gateway, client, peers));
+        loop.next().execute(() -> StoreSynchronizer.start(gateway, client, peers));
         return daemon;
     }
 
     /** Shows what this node has in progress and how old its beliefs are, read on the event loop when it is asked for. */
-    private void registerGauges(Peers peers) {
+    private void registerGauges(PeerSynchronizer peers) {
         metrics.gauge("requests_in_progress", "Requests of callers in progress", gateway::inFlight);
         metrics.gauge("config_version", "Version of the configuration in force", gateway::configVersion);
         metrics.gauge("servers_age_seconds", "Age of the list of servers", gateway::serversAgeSeconds);
@@ -152,7 +152,7 @@
                         .addLast(
                                 new HttpServerCodec(),
                                 new HttpObjectAggregator(MAX_PEER_MESSAGE_BYTES),
-                                new PeerDoor(gateway, duties));
+                                new PeerRequestHandler(gateway, duties));
             }
         });
     }
@@ -226,7 +226,7 @@
     private void closeIntake() {
         callerListener.close();
         gateway.closeIdleCallers();
-        duties.ifPresent(Duties::intakeClosed);
+        duties.ifPresent(DutyParticipant::intakeClosed);
         intakeClosed = true;
     }
 
@@ -234,7 +234,7 @@
     public boolean drained() {
         return intakeClosed
                 && gateway.inFlight() == 0
-                && duties.map(Duties::settled).orElse(true);
+                && duties.map(DutyParticipant::settled).orElse(true);
     }
 
     @Override
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayOptions.java
@@ -27,7 +27,7 @@
         Optional<InetSocketAddress> metricsAddress,
         InetSocketAddress peerAddress,
         Bounds bounds,
-        Optional<Duties> duties,
+        Optional<DutyOptions> duties,
         Set<Mechanism> disabledMechanisms) {
     /** Returns these options with no budget for repeats: the plain baseline that the product is compared with. */
     public GatewayOptions withoutRetries() {
@@ -36,11 +36,11 @@
     }
 
     /**
-     * Duties that one node does for all.
+     * DutyParticipant that one node does for all.
      *
      * @param power how well this node could bear one, greater is better
      */
-    public record Duties(DutySettings terms, int power) {}
+    public record DutyOptions(DutySettings terms, int power) {}
 
     /**
      * Bounds within which the platform wants things done.
--- a/gateway/src/main/java/org/tanagerhinge/gateway/HopHeaders.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/HopByHopHeaders.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** Headers that concern a single connection and are never passed on. */
-final class HopHeaders {
+final class HopByHopHeaders {
     private static final List<CharSequence> NAMES = List.of(
             HttpHeaderNames.CONNECTION,
             HttpHeaderNames.PROXY_AUTHENTICATE,
@@ -18,7 +18,7 @@
             "Keep-Alive",
             "Proxy-Connection");
 
-    private HopHeaders() {}
+    private HopByHopHeaders() {}
 
     /** Removes the headers of a connection, those that its Connection header names among them. */
     static void remove(HttpHeaders headers) {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/MeasuredStore.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/InstrumentedStore.java
@@ -9,18 +9,18 @@
 import org.tanagerhinge.node.metrics.NodeMetrics;
 
 /** Measures how long each call of the platform's store takes, and how it ends. */
-final class MeasuredStore implements MetadataStore {
+final class InstrumentedStore implements MetadataStore {
     private final MetadataStore store;
     private final NodeMetrics metrics;
 
-    private MeasuredStore(MetadataStore store, NodeMetrics metrics) {
+    private InstrumentedStore(MetadataStore store, NodeMetrics metrics) {
         this.store = store;
         this.metrics = metrics;
     }
 
     /** Returns a store that makes the calls of another one. */
-    static MeasuredStore of(MetadataStore store, NodeMetrics metrics) {
-        return new MeasuredStore(store, metrics);
+    static InstrumentedStore of(MetadataStore store, NodeMetrics metrics) {
+        return new InstrumentedStore(store, metrics);
     }
 
     private <T> Consumer<Reply<T>> timed(String call, Consumer<Reply<T>> done) {
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void listServers(long timeoutMillis, Consumer<Reply<Listing>> done) {
+    public void listServers(long timeoutMillis, Consumer<Reply<ServerListing>> done) {
         store.listServers(timeoutMillis, timed("servers", done));
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/MetadataStore.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/MetadataStore.java
@@ -11,7 +11,7 @@
 /** The calls to the platform's store that a gateway makes; callbacks come on the event loop. */
 public interface MetadataStore {
     /** Reads the servers' registrations; fails if a page has no answer within a time in milliseconds. */
-    void listServers(long timeoutMillis, Consumer<Reply<Listing>> done);
+    void listServers(long timeoutMillis, Consumer<Reply<ServerListing>> done);
 
     /** Reads the newest configuration; fails if there is no answer within a time in milliseconds. */
     void readConfig(long timeoutMillis, Consumer<Reply<StoredConfig>> done);
@@ -52,7 +52,7 @@
      *
      * @param unreadable entries that name no server, since another writer left something else there
      */
-    record Listing(List<ServerRegistration> servers, List<UnreadableEntry> unreadable) {}
+    record ServerListing(List<ServerRegistration> servers, List<UnreadableEntry> unreadable) {}
 
     /** A key of the store under which there is no registration, and what is wrong with what stands there. */
     record UnreadableEntry(String key, String reason) {}
@@ -72,7 +72,7 @@
     }
 
     /** The call was answered. */
-    record Answer<T>(T value) implements Reply<T> {
+    record Success<T>(T value) implements Reply<T> {
         @Override
         public String result() {
             return "answered";
@@ -80,7 +80,7 @@
     }
 
     /** The store has no history as old as was asked for. */
-    record HistoryGone<T>() implements Reply<T> {
+    record HistoryCompacted<T>() implements Reply<T> {
         @Override
         public String result() {
             return "history_gone";
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
@@ -29,7 +29,7 @@
     private PeerCodec() {}
 
     /** Parts of prompts that a node gave a backend server to read. */
-    record Kept(String instanceId, List<PromptPart> parts) {}
+    record CachedPrefix(String instanceId, List<PromptPart> parts) {}
 
     /**
      * A report with what isn't told in each of them.
@@ -39,17 +39,17 @@
      * @param leaving lives of servers that have said that they leave
      * @param duty what the node tells of duties
      */
-    record Told(
+    record PeerMessage(
             PeerReport report,
-            List<Kept> cachedPrefixes,
+            List<CachedPrefix> cachedPrefixes,
             List<Quarantine.Suspicion> suspicions,
             List<String> leavingInstances,
             DutyAnnouncement dutyStatus) {}
 
     /** A server list with its age in milliseconds. */
-    record Servers(List<ServerRegistration> list, long ageMillis) {}
+    record ServerSnapshot(List<ServerRegistration> list, long ageMillis) {}
 
-    static byte[] state(Told told) {
+    static byte[] state(PeerMessage told) {
         PeerReport report = told.report();
         PeerState.Builder state = PeerState.newBuilder()
                 .setName(report.name())
@@ -72,7 +72,7 @@
                         .setShortRunning(demand.shortInFlight())
                         .setShortTokens(demand.shortTokensPerSecond())
                         .setLongTokens(demand.longTokensPerSecond())));
-        for (Kept kept : told.cachedPrefixes()) {
+        for (CachedPrefix kept : told.cachedPrefixes()) {
             KeptParts.Builder parts = KeptParts.newBuilder().setServer(kept.instanceId());
             kept.parts()
                     .forEach(part ->
@@ -87,7 +87,7 @@
         return state.build().toByteArray();
     }
 
-    static Told state(byte[] bytes) throws InvalidProtocolBufferException {
+    static PeerMessage state(byte[] bytes) throws InvalidProtocolBufferException {
         PeerState state = PeerState.parseFrom(bytes);
         Map<String, PeerReport.InstanceLoad> uses = new HashMap<>();
         for (ServerUse use : state.getUsesList()) {
@@ -99,9 +99,9 @@
                     demand.getService(),
                     new LaneDemand(demand.getShortRunning(), demand.getShortTokens(), demand.getLongTokens()));
         }
-        List<Kept> kept = new ArrayList<>();
+        List<CachedPrefix> kept = new ArrayList<>();
         for (KeptParts parts : state.getKeptList()) {
-            kept.add(new Kept(
+            kept.add(new CachedPrefix(
                     parts.getServer(),
                     parts.getPartsList().stream()
                             .map(part -> new PromptPart(part.getId(), part.getTokens()))
@@ -123,7 +123,7 @@
                 state.getSuspectedList().stream().map(PeerCodec::decodeSuspicion).toList();
         DutyAnnouncement duty =
                 new DutyAnnouncement(state.getTimeOfDayMillis(), state.getPower(), state.getUsageToken());
-        return new Told(report, kept, suspicions, List.copyOf(state.getLeavingList()), duty);
+        return new PeerMessage(report, kept, suspicions, List.copyOf(state.getLeavingList()), duty);
     }
 
     private static SuspectedRequest encodeSuspicion(Quarantine.Suspicion suspicion) {
@@ -149,7 +149,7 @@
                 suspected.getHeldMillis());
     }
 
-    static byte[] servers(Servers servers) {
+    static byte[] servers(ServerSnapshot servers) {
         ServerList.Builder list =
                 ServerList.newBuilder().setAgeMillis((int) Math.min(Integer.MAX_VALUE, servers.ageMillis()));
         for (ServerRegistration server : servers.list()) {
@@ -165,7 +165,7 @@
         return list.build().toByteArray();
     }
 
-    static Servers servers(byte[] bytes) throws InvalidProtocolBufferException {
+    static ServerSnapshot servers(byte[] bytes) throws InvalidProtocolBufferException {
         ServerList list = ServerList.parseFrom(bytes);
         List<ServerRegistration> servers = new ArrayList<>();
         for (ServerEntry entry : list.getServersList()) {
@@ -178,7 +178,7 @@
                     entry.getSlots(),
                     entry.getDraining()));
         }
-        return new Servers(servers, list.getAgeMillis());
+        return new ServerSnapshot(servers, list.getAgeMillis());
     }
 
     /** Returns an address as IP:PORT. */
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerDoor.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerRequestHandler.java
@@ -15,16 +15,16 @@
 import org.tanagerhinge.core.relay.ServerInstance;
 
 /** Answers peers that are behind with this gateway's configuration and server list, and hears what they have counted. */
-final class PeerDoor extends SimpleChannelInboundHandler<FullHttpRequest> {
+final class PeerRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     static final String CONFIG_PATH = "/configuration";
     static final String SERVERS_PATH = "/servers";
     static final String USAGE_PATH = "/usage-counts";
 
     private final Gateway gateway;
 
-    private final Optional<Duties> duties;
+    private final Optional<DutyParticipant> duties;
 
-    PeerDoor(Gateway gateway, Optional<Duties> duties) {
+    PeerRequestHandler(Gateway gateway, Optional<DutyParticipant> duties) {
         this.gateway = gateway;
         this.duties = duties;
     }
@@ -57,7 +57,7 @@
     }
 
     private byte[] servers() {
-        return PeerCodec.servers(new PeerCodec.Servers(
+        return PeerCodec.servers(new PeerCodec.ServerSnapshot(
                 gateway.directory().all().stream()
                         .map(ServerInstance::registration)
                         .toList(),
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Peers.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerSynchronizer.java
@@ -43,8 +43,8 @@
  * What this gateway tells its peers and hears from them: load, demand, what engines hold, and how new its configuration
  * and server list are. Who is behind asks the peer that is ahead.
  */
-final class Peers {
-    private static final Logger LOG = System.getLogger(Peers.class.getName());
+final class PeerSynchronizer {
+    private static final Logger LOG = System.getLogger(PeerSynchronizer.class.getName());
     private static final long REQUEST_TIMEOUT_MILLIS = 700;
     /** Connections to a server that has ended break within this time, in milliseconds. */
     private static final long BATCH_DELAY_MILLIS = 20;
@@ -58,7 +58,7 @@
     private final Function<byte[], RelayConfig> decoder;
     private final long incarnation = Incarnation.next();
     private final Set<InetSocketAddress> addresses = new HashSet<>();
-    private final List<PeerCodec.Kept> pendingPrefixes = new ArrayList<>();
+    private final List<PeerCodec.CachedPrefix> pendingPrefixes = new ArrayList<>();
     private Set<String> presentPeers = Set.of();
     private BooleanSupplier storeReachable = () -> true;
     private Runnable configFetchFailureListener = () -> {};
@@ -74,7 +74,7 @@
     private boolean reportScheduled;
     private boolean serversRequestInFlight;
 
-    private Peers(Gateway gateway, EventLoopGroup loop, Function<byte[], RelayConfig> decoder) {
+    private PeerSynchronizer(Gateway gateway, EventLoopGroup loop, Function<byte[], RelayConfig> decoder) {
         this.gateway = gateway;
         this.loop = loop;
         this.table = PeerTable.of(gateway.options().name());
@@ -83,8 +83,8 @@
     }
 
     /** Opens the datagram socket and begins to report. */
-    static Peers open(Gateway gateway, EventLoopGroup loop, Function<byte[], RelayConfig> decoder) {
-        Peers peers = new Peers(gateway, loop, decoder);
+    static PeerSynchronizer open(Gateway gateway, EventLoopGroup loop, Function<byte[], RelayConfig> decoder) {
+        PeerSynchronizer peers = new PeerSynchronizer(gateway, loop, decoder);
         peers.channel = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
@@ -152,7 +152,7 @@
         reportIfDue(prompt.inputTokens());
         if (pendingPrefixes.size() < ReportSchedule.MAX_PROMPTS_PER_REPORT
                 && prompt.parts().size() > 1) {
-            pendingPrefixes.add(new PeerCodec.Kept(server.instanceId(), prompt.sharedParts()));
+            pendingPrefixes.add(new PeerCodec.CachedPrefix(server.instanceId(), prompt.sharedParts()));
         }
     }
 
@@ -202,13 +202,13 @@
         PeerReport state = currentReport();
         List<Quarantine.Suspicion> news = gateway.quarantine().news(gateway.nowMillis());
         List<String> leaving = gateway.serverAnnouncements().nextLeavingReport();
-        byte[] bytes = PeerCodec.state(new PeerCodec.Told(state, List.copyOf(pendingPrefixes), news, leaving, dutyStatus.get()));
+        byte[] bytes = PeerCodec.state(new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), news, leaving, dutyStatus.get()));
         byte[] more = bytes;
         int chosen = -1;
         if (!standing.isEmpty() && !addresses.isEmpty()) {
             List<Quarantine.Suspicion> all = new ArrayList<>(news);
             all.addAll(standing);
-            more = PeerCodec.state(new PeerCodec.Told(state, List.copyOf(pendingPrefixes), all, leaving, dutyStatus.get()));
+            more = PeerCodec.state(new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), all, leaving, dutyStatus.get()));
             fullReportTurn = (fullReportTurn + 1) % addresses.size();
             chosen = fullReportTurn;
         }
@@ -247,7 +247,7 @@
                 gateway.placement().localDemands(now));
     }
 
-    private void receive(PeerCodec.Told told) {
+    private void receive(PeerCodec.PeerMessage told) {
         PeerReport report = told.report();
         long now = gateway.nowMillis();
         Map<String, PeerReport.InstanceLoad> before = table.loads(report.name(), now);
@@ -257,7 +257,7 @@
         addPeerAddress(report.address());
         dutyListener.accept(report.name(), told.dutyStatus());
         gateway.budget().nodes(table.nodeCount());
-        for (PeerCodec.Kept parts : told.cachedPrefixes()) {
+        for (PeerCodec.CachedPrefix parts : told.cachedPrefixes()) {
             gateway.promptSentByPeer(parts.instanceId(), parts.parts());
         }
         told.suspicions().forEach(gateway::suspicionReceived);
@@ -333,7 +333,7 @@
             return;
         }
         configRequestInFlight = true;
-        request(ahead, PeerDoor.CONFIG_PATH, body -> {
+        request(ahead, PeerRequestHandler.CONFIG_PATH, body -> {
             configRequestInFlight = false;
             if (body != null) {
                 try {
@@ -370,11 +370,11 @@
         }
         serversRequestInFlight = true;
         long asked = gateway.nowMillis();
-        request(ahead, PeerDoor.SERVERS_PATH, body -> {
+        request(ahead, PeerRequestHandler.SERVERS_PATH, body -> {
             serversRequestInFlight = false;
             if (body != null) {
                 try {
-                    PeerCodec.Servers servers = PeerCodec.servers(body);
+                    PeerCodec.ServerSnapshot servers = PeerCodec.servers(body);
                     gateway.apply(servers.list(), asked - servers.ageMillis());
                 } catch (IOException e) {
                     LOG.log(Level.ERROR, "server list of peer " + ahead.name() + ": " + e.getMessage());
@@ -391,7 +391,7 @@
             done.accept(null);
             return;
         }
-        JsonCaller caller = JsonCaller.of(loop, address);
+        SequentialHttpClient caller = SequentialHttpClient.of(loop, address);
         caller.call(HttpMethod.GET, path, "", REQUEST_TIMEOUT_MILLIS, answer -> {
             caller.close();
             done.accept(answer.status() == 200 ? answer.body() : null);
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
@@ -36,7 +36,7 @@
     private final Gateway gateway;
     private final RelayExchange exchange;
     private final CallerConnection caller;
-    private final AnswerProgress progress;
+    private final ResponseProgress progress;
     private final PlacementRequest request;
     private final Route route;
     private final PlacementPolicy.Decision placed;
@@ -139,7 +139,7 @@
     }
 
     @Override
-    public void responseHead(HttpResponse response, AnswerTerms answerTerms) {
+    public void responseHead(HttpResponse response, BackendResponseMetadata answerTerms) {
         int status = response.status().code();
         server.recordReceived(gateway.nowMillis());
         answerTerms.load().ifPresent(load -> gateway.loadReported(server, load));
@@ -153,7 +153,7 @@
         }
     }
 
-    private void handleResponse(HttpResponse response, AnswerTerms answerTerms) {
+    private void handleResponse(HttpResponse response, BackendResponseMetadata answerTerms) {
         int status = response.status().code();
         if (route.kind() != RouteKind.STREAM || status != HttpResponseStatus.OK.code()) {
             exchange.markExecutionStarted();
@@ -171,11 +171,11 @@
         }
     }
 
-    private static boolean acceptable(HttpResponse response, AnswerTerms answerTerms) {
+    private static boolean acceptable(HttpResponse response, BackendResponseMetadata answerTerms) {
         return answerTerms.sealed() && !response.headers().contains(HttpHeaderNames.CONTENT_ENCODING);
     }
 
-    private void beginResponse(HttpResponse response, AnswerTerms answerTerms) {
+    private void beginResponse(HttpResponse response, BackendResponseMetadata answerTerms) {
         int status = response.status().code();
         this.response = response;
         if (route.kind() == RouteKind.STREAM && status == 200) {
@@ -230,7 +230,7 @@
 
     private void forwardHead() {
         HttpHeaders headers = response.headers().copy();
-        HopHeaders.remove(headers);
+        HopByHopHeaders.remove(headers);
         if (events != null || !headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
             headers.remove(HttpHeaderNames.CONTENT_LENGTH);
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
@@ -259,7 +259,7 @@
 
     private void writeBuffered() {
         HttpHeaders headers = response.headers().copy();
-        HopHeaders.remove(headers);
+        HopByHopHeaders.remove(headers);
         if (!exchange.method().equals(HttpMethod.HEAD)) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, buffered.readableBytes());
         }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
@@ -35,7 +35,7 @@
      * second, and a caller that is sent away comes back later than that.
      */
     private static final long INITIALIZATION_TIMEOUT_MILLIS = 400;
-    /** Servers that fail requests answer with such a status without running them. */
+    /** ServerSnapshot that fail requests answer with such a status without running them. */
     private static final int MIN_ERROR_STATUS = 400;
 
     private final Gateway gateway;
@@ -43,9 +43,9 @@
     private final HttpRequest head;
     private final ByteBuf body;
     private final long arrivedAtMillis;
-    private final CallerTerms metadata;
-    private final AnswerProgress progress;
-    private final RequestTrail telemetry;
+    private final CallerMetadata metadata;
+    private final ResponseProgress progress;
+    private final RequestTelemetry telemetry;
     private final Set<String> triedServers = new HashSet<>();
     private RelayConfig config;
     private Route route;
@@ -66,8 +66,8 @@
         this.body = body;
         this.arrivedAtMillis = arrived;
         this.metadata = gateway.dialect().callerMetadata(head);
-        this.progress = AnswerProgress.after(metadata.lastEventId());
-        this.telemetry = RequestTrail.of(gateway, metadata.attemptId(), arrived);
+        this.progress = ResponseProgress.after(metadata.lastEventId());
+        this.telemetry = RequestTelemetry.of(gateway, metadata.attemptId(), arrived);
     }
 
     /** Returns an exchange for a request that was read whole; its body is taken over. */
@@ -203,7 +203,7 @@
         return metadata.attemptId();
     }
 
-    AnswerProgress progress() {
+    ResponseProgress progress() {
         return progress;
     }
 
@@ -240,11 +240,11 @@
     /** Returns the request as it is sent to the server of a choice; its body is shared with this one. */
     FullHttpRequest backendRequest(PlacementPolicy.Decision placed) {
         HttpHeaders headers = head.headers().copy();
-        HopHeaders.remove(headers);
+        HopByHopHeaders.remove(headers);
         gateway.dialect()
                 .prepareBackendRequest(
                         headers,
-                        new SendTerms(
+                        new BackendRequestMetadata(
                                 placed.server().id(),
                                 Math.max(1, remainingMillis()),
                                 workspace.map(WorkspaceConfig::name),
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RequestTrail.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
@@ -16,7 +16,7 @@
 import org.tanagerhinge.node.metrics.NodeMetrics;
 
 /** What is told of one request, in log lines and metrics: each decision, the inputs that decided it, and the outcome. */
-final class RequestTrail {
+final class RequestTelemetry {
     private final Gateway gateway;
     private final String id;
     private final long arrivedAtMillis;
@@ -25,15 +25,15 @@
     private String server = "";
     private String reason = "";
 
-    private RequestTrail(Gateway gateway, String id, long arrived) {
+    private RequestTelemetry(Gateway gateway, String id, long arrived) {
         this.gateway = gateway;
         this.id = id;
         this.arrivedAtMillis = arrived;
     }
 
     /** Returns the trail of a request that arrived at a time in milliseconds. */
-    static RequestTrail of(Gateway gateway, String id, long arrived) {
-        return new RequestTrail(gateway, id, arrived);
+    static RequestTelemetry of(Gateway gateway, String id, long arrived) {
+        return new RequestTelemetry(gateway, id, arrived);
     }
 
     private LogLine logLine(LogEvent event, boolean failure) {
@@ -79,7 +79,7 @@
 
     /** An attempt has failed; {@code broken} holds the request's fingerprint if its connection broke. */
     void attemptFailed(
-            AttemptEnd end, String why, long began, AnswerProgress progress, Optional<RequestFingerprint> broken) {
+            AttemptEnd end, String why, long began, ResponseProgress progress, Optional<RequestFingerprint> broken) {
         LogLine line = logLine(LogEvent.ATTEMPT_FAILED, true)
                 .with(LogField.SERVER, server)
                 .with(LogField.ATTEMPT, attempts)
@@ -93,7 +93,7 @@
     }
 
     /** The request goes to another server. */
-    void retried(boolean resumed, AnswerProgress progress) {
+    void retried(boolean resumed, ResponseProgress progress) {
         gateway.count(resumed ? "resumed" : "repeated");
         logLine(resumed ? LogEvent.RESUMED : LogEvent.REPEATED, true)
                 .with(LogField.ATTEMPT, attempts + 1)
@@ -139,18 +139,18 @@
                 .write();
     }
 
-    void truncated(String why, AnswerProgress progress) {
+    void truncated(String why, ResponseProgress progress) {
         gateway.count("answer_cut");
         finalLine(LogEvent.CUT, true, progress).with(LogField.WHY, why).write();
     }
 
-    void callerDisconnected(AnswerProgress progress) {
+    void callerDisconnected(ResponseProgress progress) {
         gateway.count("caller_gone");
         finalLine(LogEvent.CALLER_GONE, true, progress).write();
     }
 
     /** The answer was passed on whole. */
-    void completed(int status, AnswerProgress progress) {
+    void completed(int status, ResponseProgress progress) {
         long now = gateway.nowMillis();
         boolean late = missedTarget(now, progress);
         finalLine(LogEvent.ENDED, late || status >= 400, progress)
@@ -163,7 +163,7 @@
         }
     }
 
-    private void recordTimes(String label, long now, AnswerProgress progress) {
+    private void recordTimes(String label, long now, ResponseProgress progress) {
         long first = progress.firstEventAtMillis() < 0 ? 0 : progress.firstEventAtMillis() - arrivedAtMillis;
         NodeMetrics metrics = gateway.metrics();
         metrics.times(label, Duration.ofMillis(first), Duration.ZERO, Duration.ofMillis(now - arrivedAtMillis));
@@ -175,7 +175,7 @@
         return route.kind().name().toLowerCase(Locale.ROOT) + "/" + route.priority();
     }
 
-    private LogLine finalLine(LogEvent event, boolean failure, AnswerProgress progress) {
+    private LogLine finalLine(LogEvent event, boolean failure, ResponseProgress progress) {
         LogLine line = logLine(event, failure)
                 .with(LogField.ROUTE, route.map(Route::name).orElse(""))
                 .with(LogField.SERVER, server)
@@ -189,7 +189,7 @@
         return line;
     }
 
-    private boolean missedTarget(long now, AnswerProgress progress) {
+    private boolean missedTarget(long now, ResponseProgress progress) {
         if (route.isEmpty() || route.get().targetMillis() <= 0) {
             return false;
         }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/AnswerProgress.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/ResponseProgress.java
@@ -4,7 +4,7 @@
 import java.util.OptionalLong;
 
 /** How far one request's answer has been passed on to its caller, over all its attempts. */
-final class AnswerProgress {
+final class ResponseProgress {
     private long lastEventId;
     private boolean headForwarded;
     private boolean eventsForwarded;
@@ -14,8 +14,8 @@
     private long longestGapMillis;
 
     /** Returns the progress of a request that asks for the events after one; 0 for all. */
-    static AnswerProgress after(long event) {
-        AnswerProgress progress = new AnswerProgress();
+    static ResponseProgress after(long event) {
+        ResponseProgress progress = new ResponseProgress();
         progress.lastEventId = event;
         return progress;
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/JsonCaller.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/SequentialHttpClient.java
@@ -33,7 +33,7 @@
  * <p>Each call ends within its time: a connection may fall silent for good, and an answer that was lost takes its
  * connection with it, so a call without an answer closes the connection and the next one opens another.
  */
-public final class JsonCaller {
+public final class SequentialHttpClient {
     private static final int CONNECT_TIMEOUT_MILLIS = 700;
     private static final int MAX_RESPONSE_BYTES = 8 << 20;
     /** Headers of a call with a JSON body. */
@@ -45,14 +45,14 @@
     private Channel channel;
     private Call current;
 
-    private JsonCaller(EventLoopGroup loop, InetSocketAddress address) {
+    private SequentialHttpClient(EventLoopGroup loop, InetSocketAddress address) {
         this.loop = loop;
         this.address = address;
     }
 
     /** Returns a caller that connects with its first call. */
-    public static JsonCaller of(EventLoopGroup loop, InetSocketAddress address) {
-        return new JsonCaller(loop, address);
+    public static SequentialHttpClient of(EventLoopGroup loop, InetSocketAddress address) {
+        return new SequentialHttpClient(loop, address);
     }
 
     /**
@@ -61,9 +61,9 @@
      * @param status HTTP status, or 0 if the call failed
      * @param body the answer's body, or why the call failed
      */
-    public record Answer(int status, byte[] body) {
-        static Answer failed(String why) {
-            return new Answer(0, why.getBytes(StandardCharsets.UTF_8));
+    public record Response(int status, byte[] body) {
+        static Response failed(String why) {
+            return new Response(0, why.getBytes(StandardCharsets.UTF_8));
         }
 
         /** Returns the body as text. */
@@ -77,10 +77,10 @@
         private final String path;
         private final Map<String, String> headers;
         private final byte[] body;
-        private final Consumer<Answer> done;
+        private final Consumer<Response> done;
         private Future<?> timer;
 
-        Call(HttpMethod method, String path, Map<String, String> headers, byte[] body, Consumer<Answer> done) {
+        Call(HttpMethod method, String path, Map<String, String> headers, byte[] body, Consumer<Response> done) {
             this.method = method;
             this.path = path;
             this.headers = headers;
@@ -95,7 +95,7 @@
      *
      * @param body JSON text, or empty for none
      */
-    public void call(HttpMethod method, String path, String body, long timeoutMillis, Consumer<Answer> done) {
+    public void call(HttpMethod method, String path, String body, long timeoutMillis, Consumer<Response> done) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         boolean json = bytes.length > 0 || method.equals(HttpMethod.POST);
         call(method, path, json ? JSON_HEADERS : Map.of(), bytes, timeoutMillis, done);
@@ -108,7 +108,7 @@
             Map<String, String> headers,
             byte[] body,
             long timeoutMillis,
-            Consumer<Answer> done) {
+            Consumer<Response> done) {
         Call call = new Call(method, path, headers, body, done);
         call.timer = loop.next().schedule(() -> timedOut(call), timeoutMillis, TimeUnit.MILLISECONDS);
         if (current == null) {
@@ -122,7 +122,7 @@
         if (call == current) {
             fail("no answer in time");
         } else if (queued.remove(call)) {
-            call.done.accept(Answer.failed("no answer in time"));
+            call.done.accept(Response.failed("no answer in time"));
         }
     }
 
@@ -144,7 +144,7 @@
                                 .addLast(
                                         new HttpClientCodec(),
                                         new HttpObjectAggregator(MAX_RESPONSE_BYTES),
-                                        new AnswerHandler());
+                                        new ResponseHandler());
                     }
                 })
                 .connect(address)
@@ -174,7 +174,7 @@
         queued.clear();
         for (Call call : never) {
             call.timer.cancel(false);
-            call.done.accept(Answer.failed("closed"));
+            call.done.accept(Response.failed("closed"));
         }
         if (current != null) {
             fail("closed");
@@ -203,10 +203,10 @@
             channel.close();
             channel = null;
         }
-        finish(Answer.failed(why));
+        finish(Response.failed(why));
     }
 
-    private void finish(Answer answer) {
+    private void finish(Response answer) {
         Call ended = current;
         current = null;
         ended.timer.cancel(false);
@@ -217,7 +217,7 @@
     }
 
     /** Takes the answers of one connection. */
-    private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             if (context.channel() != channel || current == null) {
@@ -234,7 +234,7 @@
                 channel = null;
                 context.close();
             }
-            finish(new Answer(response.status().code(), body));
+            finish(new Response(response.status().code(), body));
         }
 
         @Override
--- a/gateway/src/main/java/org/tanagerhinge/gateway/StoreFeed.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/StoreSynchronizer.java
@@ -21,8 +21,8 @@
  * reads for all ({@link org.tanagerhinge.core.relay.PeerTable}) makes these calls; the others hear of changes from their
  * peers and ask the store themselves when their list has grown old.
  */
-final class StoreFeed {
-    private static final Logger LOG = System.getLogger(StoreFeed.class.getName());
+final class StoreSynchronizer {
+    private static final Logger LOG = System.getLogger(StoreSynchronizer.class.getName());
     /** How often the servers are read, in milliseconds: well under the bound for servers that leave. */
     private static final int SERVERS_POLL_MILLIS = 800;
     /**
@@ -60,7 +60,7 @@
 
     private final Gateway gateway;
     private final MetadataStore store;
-    private final Peers peers;
+    private final PeerSynchronizer peers;
     private long revision = -1;
     private boolean watching;
     private long leaseId;
@@ -68,15 +68,15 @@
     private boolean storeReachable = true;
     private List<MetadataStore.UnreadableEntry> loggedUnreadable = List.of();
 
-    private StoreFeed(Gateway gateway, MetadataStore store, Peers peers) {
+    private StoreSynchronizer(Gateway gateway, MetadataStore store, PeerSynchronizer peers) {
         this.gateway = gateway;
         this.store = store;
         this.peers = peers;
     }
 
     /** Starts to read; returns at once. */
-    static StoreFeed start(Gateway gateway, MetadataStore store, Peers peers) {
-        StoreFeed feed = new StoreFeed(gateway, store, peers);
+    static StoreSynchronizer start(Gateway gateway, MetadataStore store, PeerSynchronizer peers) {
+        StoreSynchronizer feed = new StoreSynchronizer(gateway, store, peers);
         peers.storeReachable(() -> feed.storeReachable);
         peers.onConfigFetchFailed(feed::catchUp);
         feed.runGuarded(feed::readConfig);
@@ -126,7 +126,7 @@
         }
         nextCatchUpMillis = now + MIN_CATCH_UP_INTERVAL_MILLIS;
         store.readConfig(timeoutMillis(), reply -> {
-            if (reply instanceof MetadataStore.Answer<MetadataStore.StoredConfig> answer) {
+            if (reply instanceof MetadataStore.Success<MetadataStore.StoredConfig> answer) {
                 markReachable();
                 if (answer.value().document() != null) {
                     apply(answer.value().document());
@@ -140,7 +140,7 @@
     private void readServers() {
         long asked = gateway.nowMillis();
         store.listServers(timeoutMillis(), guarded(this::pollServers, reply -> {
-            if (reply instanceof MetadataStore.Answer<MetadataStore.Listing> answer) {
+            if (reply instanceof MetadataStore.Success<MetadataStore.ServerListing> answer) {
                 markReachable();
                 logUnreadable(answer.value().unreadable());
                 if (gateway.apply(answer.value().servers(), asked)) {
@@ -186,7 +186,7 @@
     }
 
     private void handleConfig(MetadataStore.Reply<MetadataStore.StoredConfig> reply) {
-        if (reply instanceof MetadataStore.Answer<MetadataStore.StoredConfig> answer) {
+        if (reply instanceof MetadataStore.Success<MetadataStore.StoredConfig> answer) {
             markReachable();
             MetadataStore.StoredConfig stored = answer.value();
             revision = Math.max(revision, stored.revision());
@@ -231,7 +231,7 @@
 
     private void register() {
         store.registerGateway(gateway.options().name(), peers.address(), LEASE_TTL, guarded(this::register, reply -> {
-            if (reply instanceof MetadataStore.Answer<Long> answer) {
+            if (reply instanceof MetadataStore.Success<Long> answer) {
                 markReachable();
                 leaseId = answer.value();
                 readGateways();
@@ -245,7 +245,7 @@
 
     private void keepLeaseAlive() {
         store.keepAlive(leaseId, guarded(this::keepLeaseAlive, reply -> {
-            if (reply instanceof MetadataStore.Answer<Boolean> answer) {
+            if (reply instanceof MetadataStore.Success<Boolean> answer) {
                 markReachable();
                 if (answer.value()) {
                     if (!peers.table().anyPresent(gateway.nowMillis())) {
@@ -265,7 +265,7 @@
     /** Requests that end servers outlast the gateways that found them: all may lose power together. */
     private void readQuarantine() {
         store.listQuarantined(guarded(this::readQuarantine, reply -> {
-            if (reply instanceof MetadataStore.Answer<List<RequestFingerprint>> answer) {
+            if (reply instanceof MetadataStore.Success<List<RequestFingerprint>> answer) {
                 markReachable();
                 answer.value().forEach(gateway::quarantinedInStore);
             } else {
@@ -279,7 +279,7 @@
             return;
         }
         store.quarantine(request, Duration.ofMillis(Quarantine.HOLD_MILLIS), reply -> {
-            if (reply instanceof MetadataStore.Answer<Long>) {
+            if (reply instanceof MetadataStore.Success<Long>) {
                 markReachable();
             } else {
                 schedule(() -> quarantine(request), RETRY_MILLIS * 4);
@@ -289,7 +289,7 @@
 
     private void readGateways() {
         store.listGateways(reply -> {
-            if (reply instanceof MetadataStore.Answer<List<String>> answer) {
+            if (reply instanceof MetadataStore.Success<List<String>> answer) {
                 markReachable();
                 peers.addresses(answer.value());
             }
--- a/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
@@ -23,8 +23,8 @@
     private static final PeerReport REPORT =
             new PeerReport("gateway-0", 1, 2, "127.0.0.1:7200", true, 3, 4, 5, 250, Map.of(), Map.of());
 
-    private static PeerCodec.Told message(List<Quarantine.Suspicion> suspicions, List<String> leaving) {
-        return new PeerCodec.Told(
+    private static PeerCodec.PeerMessage message(List<Quarantine.Suspicion> suspicions, List<String> leaving) {
+        return new PeerCodec.PeerMessage(
                 REPORT, List.of(), suspicions, leaving, new DutyAnnouncement(1_700_000_000_123L, 150, 412));
     }
 
@@ -37,7 +37,7 @@
                         Optional.empty(),
                         Quarantine.HOLD_MILLIS),
                 new Quarantine.Suspicion(new RequestFingerprint(0, 0), List.of(), Optional.of(0L), 0));
-        PeerCodec.Told sent = message(suspicions, List.of("i-1@2", "i-2"));
+        PeerCodec.PeerMessage sent = message(suspicions, List.of("i-1@2", "i-2"));
         assertEquals(sent, PeerCodec.state(PeerCodec.state(sent)));
     }
 
--- a/gateway/src/test/java/org/tanagerhinge/gateway/LoopsTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeriodicTaskRecoveryTest.java
@@ -43,7 +43,7 @@
  *   14.116 a-1 store_back            16 to 28: four versions are written, and no gateway has a configuration line after 0.598
  * </pre>
  */
-class LoopsTest {
+class PeriodicTaskRecoveryTest {
     private static final Duration CONDITION_TIMEOUT = Duration.ofSeconds(30);
 
     /** What a store's caller can't take: the answer to a call holds nothing, or the call throws. */
@@ -74,15 +74,15 @@
                 if (fault == Fault.THROWN) {
                     throw new IllegalStateException("deliberate");
                 }
-                done.accept(new Answer<>(null));
+                done.accept(new Success<>(null));
                 return;
             }
-            done.accept(new Answer<>(value));
+            done.accept(new Success<>(value));
         }
 
         @Override
-        public void listServers(long timeoutMillis, Consumer<Reply<Listing>> done) {
-            reply("servers", new Listing(List.of(), List.of()), done);
+        public void listServers(long timeoutMillis, Consumer<Reply<ServerListing>> done) {
+            reply("servers", new ServerListing(List.of(), List.of()), done);
         }
 
         @Override
@@ -129,16 +129,16 @@
     /** Reads and writes nothing. */
     private static final class NoDialect implements Dialect {
         @Override
-        public CallerTerms callerMetadata(HttpRequest request) {
-            return new CallerTerms("", OptionalLong.empty(), Optional.empty(), Prompt.NONE, 0);
+        public CallerMetadata callerMetadata(HttpRequest request) {
+            return new CallerMetadata("", OptionalLong.empty(), Optional.empty(), Prompt.NONE, 0);
         }
 
         @Override
-        public void prepareBackendRequest(HttpHeaders headers, SendTerms terms) {}
+        public void prepareBackendRequest(HttpHeaders headers, BackendRequestMetadata terms) {}
 
         @Override
-        public AnswerTerms responseMetadata(HttpResponse response) {
-            return new AnswerTerms("", false, false, Optional.empty(), Optional.empty(), false, OptionalLong.empty());
+        public BackendResponseMetadata responseMetadata(HttpResponse response) {
+            return new BackendResponseMetadata("", false, false, Optional.empty(), Optional.empty(), false, OptionalLong.empty());
         }
 
         @Override
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/JsonCallerTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/JsonCallerTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.tanagerhinge.gateway.JsonCaller;
+import org.tanagerhinge.gateway.SequentialHttpClient;
 import org.tanagerhinge.platform.PlatformNames;
 import org.tanagerhinge.standin.relay.StoreStandin;
 
@@ -22,7 +22,7 @@
 
     private final StoreStandin store = StoreStandin.start(0);
     private final EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final JsonCaller caller = JsonCaller.of(loop, store.address());
+    private final SequentialHttpClient caller = SequentialHttpClient.of(loop, store.address());
     private final List<String> heard = new CopyOnWriteArrayList<>();
 
     @AfterEach
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayScene.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayScene.java
@@ -56,13 +56,13 @@
     GatewayDaemon gatewayWithDuties(String name, Duration lease, Duration window) throws IOException {
         DutySettings terms =
                 new DutySettings(name, lease, lease, true, Duration.ofSeconds(13), window, window.multipliedBy(4));
-        GatewayDaemon gateway = start(name, store.address(), Optional.of(new GatewayOptions.Duties(terms, 100)));
+        GatewayDaemon gateway = start(name, store.address(), Optional.of(new GatewayOptions.DutyOptions(terms, 100)));
         await(gateway::ready);
         return gateway;
     }
 
     private GatewayDaemon start(
-            String name, InetSocketAddress storeAddress, Optional<GatewayOptions.Duties> dutyOptions)
+            String name, InetSocketAddress storeAddress, Optional<GatewayOptions.DutyOptions> dutyOptions)
             throws IOException {
         GatewayOptions options = new GatewayOptions(
                 name,
