--- a/gateway/src/main/java/org/tanagerhinge/gateway/AttemptListener.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/AttemptListener.java
@@ -16,5 +16,5 @@
     void responseCompleted();
 
     /** The attempt has failed. */
-    void attemptFailed(AttemptEnd end, String why);
+    void attemptFailed(AttemptEnd end, String reason);
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
@@ -70,10 +70,10 @@
     }
 
     /** Returns whether the server can be expected to take another request on this connection. */
-    boolean reusable(long now, long mostIdle) {
+    boolean reusable(long nowMillis, long maxIdleMillis) {
         return channel.isActive()
                 && activeListener == null
-                && now - idleSinceMillis < Math.min(mostIdle, (long) (REUSABLE_IDLE_SHARE * idleTimeoutMillis));
+                && nowMillis - idleSinceMillis < Math.min(maxIdleMillis, (long) (REUSABLE_IDLE_SHARE * idleTimeoutMillis));
     }
 
     /** Sends a request whose answer goes to a listener. */
@@ -105,8 +105,8 @@
     }
 
     /** Stops or goes on with reading, so that a slow caller fills no memory here. */
-    void setReading(boolean on) {
-        channel.config().setAutoRead(on);
+    void setReading(boolean enabled) {
+        channel.config().setAutoRead(enabled);
     }
 
     @Override
@@ -140,24 +140,24 @@
             skipping = true;
             return;
         }
-        BackendResponseMetadata terms = pool.dialect().responseMetadata(response);
+        BackendResponseMetadata metadata = pool.dialect().responseMetadata(response);
         if (response.status().code() != MISDIRECTED_REQUEST) {
-            pool.responseReceived(server, response.status().code(), terms);
+            pool.responseReceived(server, response.status().code(), metadata);
         }
-        if (!terms.attemptId().isEmpty() && !terms.attemptId().equals(attemptId)) {
+        if (!metadata.attemptId().isEmpty() && !metadata.attemptId().equals(attemptId)) {
             pool.count("answer_of_another_request");
             skipping = true;
             return;
         }
-        boolean refusal = terms.notExecuted() || response.status().code() == MISDIRECTED_REQUEST;
-        if (terms.attemptId().isEmpty() && !refusal) {
+        boolean refusal = metadata.notExecuted() || response.status().code() == MISDIRECTED_REQUEST;
+        if (metadata.attemptId().isEmpty() && !refusal) {
             fail(AttemptEnd.BROKEN, "answer names no request");
             return;
         }
         skipping = false;
         responding = true;
         readKeepAlive(response);
-        activeListener.responseHead(response, terms);
+        activeListener.responseHead(response, metadata);
     }
 
     private void handleContent(HttpContent content) {
@@ -190,7 +190,7 @@
             channel.close();
         } else {
             channel.config().setAutoRead(true);
-            pool.idle(this);
+            pool.release(this);
         }
         listener.responseCompleted();
     }
@@ -217,13 +217,13 @@
                 || message.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
     }
 
-    private void fail(AttemptEnd end, String why) {
+    private void fail(AttemptEnd end, String reason) {
         broken = true;
         AttemptListener listener = activeListener;
         activeListener = null;
         channel.close();
         if (listener != null) {
-            listener.attemptFailed(end, why);
+            listener.attemptFailed(end, reason);
         }
     }
 
@@ -259,7 +259,7 @@
     /** Takes an answer that nobody waits for. */
     private record DiscardingListener(Runnable broken) implements AttemptListener {
         @Override
-        public void responseHead(HttpResponse response, BackendResponseMetadata terms) {}
+        public void responseHead(HttpResponse response, BackendResponseMetadata metadata) {}
 
         @Override
         public void responseBody(ByteBuf bytes) {}
@@ -268,7 +268,7 @@
         public void responseCompleted() {}
 
         @Override
-        public void attemptFailed(AttemptEnd end, String why) {
+        public void attemptFailed(AttemptEnd end, String reason) {
             broken.run();
         }
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnectionPool.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnectionPool.java
@@ -49,11 +49,11 @@
 
     /** Hears what each answer says of its server, whoever the answer is for. */
     interface ResponseListener {
-        void responseReceived(ServerInstance server, int status, BackendResponseMetadata terms);
+        void responseReceived(ServerInstance server, int status, BackendResponseMetadata metadata);
     }
 
-    void responseReceived(ServerInstance server, int status, BackendResponseMetadata terms) {
-        responseListener.responseReceived(server, status, terms);
+    void responseReceived(ServerInstance server, int status, BackendResponseMetadata metadata) {
+        responseListener.responseReceived(server, status, metadata);
     }
 
     Dialect dialect() {
@@ -73,11 +73,11 @@
      *
      * @param mostIdle longest idle time of a connection that is wanted, in milliseconds
      */
-    BackendConnection pollIdle(ServerInstance server, long mostIdle) {
+    BackendConnection pollIdle(ServerInstance server, long maxIdleMillis) {
         Deque<BackendConnection> connections = idle.get(server.instanceId());
         while (connections != null && !connections.isEmpty()) {
             BackendConnection connection = connections.peekLast();
-            if (connection.reusable(nowMillis(), mostIdle)) {
+            if (connection.reusable(nowMillis(), maxIdleMillis)) {
                 connections.pollLast();
                 return connection;
             }
@@ -91,7 +91,7 @@
     }
 
     /** Opens a connection; {@code done} gets it, or null if none could be made. */
-    void connect(ServerInstance server, Consumer<BackendConnection> done) {
+    void connect(ServerInstance server, Consumer<BackendConnection> onConnected) {
         BackendConnection connection = new BackendConnection(this, server);
         all.computeIfAbsent(server.instanceId(), id -> new HashSet<>()).add(connection);
         new Bootstrap()
@@ -112,15 +112,15 @@
                 .connect(server.address())
                 .addListener(future -> {
                     if (future.isSuccess()) {
-                        done.accept(connection);
+                        onConnected.accept(connection);
                     } else {
                         connectionClosed(connection);
-                        done.accept(null);
+                        onConnected.accept(null);
                     }
                 });
     }
 
-    void idle(BackendConnection connection) {
+    void release(BackendConnection connection) {
         if (connection.server().removed()) {
             connection.channel().close();
             return;
@@ -130,15 +130,15 @@
     }
 
     void connectionClosed(BackendConnection connection) {
-        String life = connection.server().instanceId();
-        Deque<BackendConnection> connections = idle.get(life);
+        String instanceId = connection.server().instanceId();
+        Deque<BackendConnection> connections = idle.get(instanceId);
         if (connections != null) {
             connections.remove(connection);
         }
-        Set<BackendConnection> ofServer = all.get(life);
-        if (ofServer != null && ofServer.remove(connection) && ofServer.isEmpty()) {
-            all.remove(life);
-            idle.remove(life);
+        Set<BackendConnection> connectionsToServer = all.get(instanceId);
+        if (connectionsToServer != null && connectionsToServer.remove(connection) && connectionsToServer.isEmpty()) {
+            all.remove(instanceId);
+            idle.remove(instanceId);
         }
     }
 
@@ -147,10 +147,10 @@
      *
      * @param leaves whether a server has said that it leaves
      */
-    void sweep(Predicate<ServerInstance> leaves) {
+    void sweep(Predicate<ServerInstance> isLeaving) {
         for (Deque<BackendConnection> connections : Set.copyOf(idle.values())) {
             for (BackendConnection connection : Set.copyOf(connections)) {
-                boolean leaving = !connection.server().available() || leaves.test(connection.server());
+                boolean leaving = !connection.server().available() || isLeaving.test(connection.server());
                 if (leaving || !connection.reusable(nowMillis(), MAX_IDLE_MILLIS)) {
                     connections.remove(connection);
                     connection.channel().close();
--- a/gateway/src/main/java/org/tanagerhinge/gateway/CallerConnection.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/CallerConnection.java
@@ -151,10 +151,10 @@
         body.writeBytes(content.content());
         if (content instanceof LastHttpContent) {
             HttpRequest request = head;
-            ByteBuf whole = body;
+            ByteBuf wholeBody = body;
             head = null;
             body = null;
-            exchange = RelayExchange.of(gateway, this, request, whole, headAtMillis);
+            exchange = RelayExchange.of(gateway, this, request, wholeBody, headAtMillis);
             exchange.start();
         }
     }
@@ -285,16 +285,16 @@
     }
 
     /** Closes the connection if it is idle or slow to send beyond the limits. */
-    void sweep(long now) {
+    void sweep(long nowMillis) {
         CallerLimits limits = gateway.limits();
         if (closing || exchange != null) {
             return;
         }
-        if (head != null && now - headAtMillis > limits.headerTimeoutMillis() + limits.idleTimeoutMillis()) {
+        if (head != null && nowMillis - headAtMillis > limits.headerTimeoutMillis() + limits.idleTimeoutMillis()) {
             releaseRequest();
             keepAlive = false;
             refuseUnread(Refusal.of(408, ResultCode.CALLER_TOO_SLOW));
-        } else if (head == null && now - idleSinceMillis > limits.idleTimeoutMillis() + limits.headerTimeoutMillis()) {
+        } else if (head == null && nowMillis - idleSinceMillis > limits.idleTimeoutMillis() + limits.headerTimeoutMillis()) {
             closeGracefully();
         }
     }
@@ -318,9 +318,9 @@
         releaseRequest();
         dropPipelined();
         if (exchange != null) {
-            RelayExchange left = exchange;
+            RelayExchange abandoned = exchange;
             exchange = null;
-            left.callerDisconnected();
+            abandoned.callerDisconnected();
         }
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/CrashDetector.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/CrashDetector.java
@@ -42,29 +42,29 @@
             gateway.serverCrashed(server, Set.of(request));
             return;
         }
-        Set<RequestFingerprint> under = suspectsByProbe.get(server.instanceId());
-        if (under != null) {
-            if (under.size() < MAX_SUSPECTS) {
-                under.add(request);
+        Set<RequestFingerprint> suspects = suspectsByProbe.get(server.instanceId());
+        if (suspects != null) {
+            if (suspects.size() < MAX_SUSPECTS) {
+                suspects.add(request);
             }
             return;
         }
         suspectsByProbe.put(server.instanceId(), new LinkedHashSet<>(Set.of(request)));
-        gateway.pool().connect(server, fresh -> probeCompleted(server, fresh));
+        gateway.pool().connect(server, connection -> probeCompleted(server, connection));
     }
 
     private boolean crashedRecently(ServerInstance server) {
-        Long at = crashedAtMillis.get(server.instanceId());
-        return at != null && gateway.nowMillis() - at < CRASH_WINDOW_MILLIS;
+        Long atMillis = crashedAtMillis.get(server.instanceId());
+        return atMillis != null && gateway.nowMillis() - atMillis < CRASH_WINDOW_MILLIS;
     }
 
-    private void probeCompleted(ServerInstance server, BackendConnection fresh) {
-        Set<RequestFingerprint> under = suspectsByProbe.remove(server.instanceId());
-        if (fresh != null) {
-            gateway.pool().idle(fresh);
+    private void probeCompleted(ServerInstance server, BackendConnection connection) {
+        Set<RequestFingerprint> suspects = suspectsByProbe.remove(server.instanceId());
+        if (connection != null) {
+            gateway.pool().release(connection);
             return;
         }
         crashedAtMillis.put(server.instanceId(), gateway.nowMillis());
-        gateway.serverCrashed(server, under);
+        gateway.serverCrashed(server, suspects);
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/DutyParticipant.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/DutyParticipant.java
@@ -100,11 +100,11 @@
             DutyClient port,
             GatewayOptions.DutyOptions options,
             InstantSource wallClock) {
-        DutyParticipant duties = new DutyParticipant(gateway, loop, peers, port, options, wallClock);
-        gateway.onExecutionStarted(duties.counter::recordStart);
-        peers.exchangeDutyStatus(duties::status, duties::peerStatusReceived);
-        gateway.schedule(() -> gateway.repeat(duties::step, () -> STEP_MILLIS), START_DELAY_MILLIS);
-        return duties;
+        DutyParticipant participant = new DutyParticipant(gateway, loop, peers, port, options, wallClock);
+        gateway.onExecutionStarted(participant.counter::recordStart);
+        peers.exchangeDutyStatus(participant::status, participant::peerStatusReceived);
+        gateway.schedule(() -> gateway.repeat(participant::step, () -> STEP_MILLIS), START_DELAY_MILLIS);
+        return participant;
     }
 
     double coverage() {
@@ -123,45 +123,45 @@
         return duty == null ? 0 : duty.fencingToken();
     }
 
-    private void peerStatusReceived(String peer, DutyAnnouncement word) {
-        peerStatuses.put(peer, word);
-        if (word.wallClockMillis() > 0) {
-            time.recordPeerTime(peer, word.wallClockMillis());
+    private void peerStatusReceived(String peer, DutyAnnouncement status) {
+        peerStatuses.put(peer, status);
+        if (status.wallClockMillis() > 0) {
+            time.recordPeerTime(peer, status.wallClockMillis());
         }
     }
 
     private List<DutyPeer> otherNodes() {
-        long now = gateway.nowMillis();
-        List<DutyPeer> others = new ArrayList<>();
+        long nowMillis = gateway.nowMillis();
+        List<DutyPeer> otherNodes = new ArrayList<>();
         for (PeerTable.Peer peer : peers.table().peers()) {
             String name = peer.report().name();
-            others.add(new DutyPeer(
+            otherNodes.add(new DutyPeer(
                     name,
                     peer.report().incarnation(),
-                    PeerTable.present(peer, now),
+                    PeerTable.present(peer, nowMillis),
                     peerStatuses.getOrDefault(name, DutyAnnouncement.NONE)));
         }
-        return others;
+        return otherNodes;
     }
 
     private void step() {
-        List<DutyPeer> others = otherNodes();
-        if (peerStatuses.size() > others.size()) {
-            peerStatuses.keySet().retainAll(others.stream().map(DutyPeer::name).toList());
+        List<DutyPeer> otherNodes = otherNodes();
+        if (peerStatuses.size() > otherNodes.size()) {
+            peerStatuses.keySet().retainAll(otherNodes.stream().map(DutyPeer::name).toList());
             time.retainPeers(peerStatuses.keySet());
         }
         if (duty == null) {
             duty = duty();
         }
         long before = duty.fencingToken();
-        duty.tick(others, hostPower());
+        duty.tick(otherNodes, hostPower());
         if (duty.fencingToken() != before) {
             peers.reportNow();
         }
         if (gateway.draining()) {
-            checkFinalReport(others);
+            checkFinalReport(otherNodes);
         }
-        reportToHolder(others);
+        reportToHolder(otherNodes);
     }
 
     private UsageDuty duty() {
@@ -172,20 +172,20 @@
 
     // ---- telling the holder
 
-    private void reportToHolder(List<DutyPeer> others) {
+    private void reportToHolder(List<DutyPeer> otherNodes) {
         if (token() > 0) {
             return;
         }
-        Optional<DutyPeer> holder = UsageReporter.findHolder(others);
+        Optional<DutyPeer> holder = UsageReporter.findHolder(otherNodes);
         if (holder.isEmpty()) {
             return;
         }
-        long counted = reporter.startedRequests();
-        reporter.pollReport(holder.get(), others.size() + 1, countingFinished())
-                .ifPresent(report -> sendReport(holder.get(), report, counted));
+        long countedUnits = reporter.startedRequests();
+        reporter.pollReport(holder.get(), otherNodes.size() + 1, countingFinished())
+                .ifPresent(report -> sendReport(holder.get(), report, countedUnits));
     }
 
-    private void sendReport(DutyPeer holder, UsageReport report, long counted) {
+    private void sendReport(DutyPeer holder, UsageReport report, long countedUnits) {
         Optional<String> address = peers.table().peers().stream()
                 .filter(peer -> peer.report().name().equals(holder.name()))
                 .map(peer -> peer.report().address())
@@ -195,15 +195,15 @@
             return;
         }
         byte[] body = UsageCodec.reports(List.of(report));
-        holderClient.call(HttpMethod.POST, PeerRequestHandler.USAGE_PATH, PROTOBUF, body, REPORT_TIMEOUT_MILLIS, answer -> {
-            if (answer.status() != 200) {
+        holderClient.call(HttpMethod.POST, PeerRequestHandler.USAGE_PATH, PROTOBUF, body, REPORT_TIMEOUT_MILLIS, response -> {
+            if (response.status() != 200) {
                 gateway.count("usage_not_told");
                 reporter.failed();
                 return;
             }
             try {
-                long fixedThrough = UsageCodec.fixedThrough(answer.body());
-                reporter.acknowledged(holder.announcement().fencingToken(), report, counted, fixedThrough);
+                long fixedThrough = UsageCodec.fixedThrough(response.body());
+                reporter.acknowledged(holder.announcement().fencingToken(), report, countedUnits, fixedThrough);
             } catch (InvalidProtocolBufferException e) {
                 LOG.log(Level.ERROR, "answer of peer " + holder.name() + ": " + e.getMessage());
                 reporter.failed();
@@ -259,12 +259,12 @@
         return intakeClosed && gateway.inFlight() == 0;
     }
 
-    private void checkFinalReport(List<DutyPeer> others) {
-        long now = gateway.nowMillis();
-        drainedAtMillis = countingFinished() ? Math.min(drainedAtMillis, now) : Long.MAX_VALUE;
-        boolean alone = others.stream().noneMatch(DutyPeer::alive);
-        boolean patienceEnds = drainedAtMillis != Long.MAX_VALUE && now - drainedAtMillis >= FINAL_REPORT_TIMEOUT_MILLIS;
-        settled = alone || reporter.lastReportAcknowledged() || patienceEnds;
+    private void checkFinalReport(List<DutyPeer> otherNodes) {
+        long nowMillis = gateway.nowMillis();
+        drainedAtMillis = countingFinished() ? Math.min(drainedAtMillis, nowMillis) : Long.MAX_VALUE;
+        boolean alone = otherNodes.stream().noneMatch(DutyPeer::alive);
+        boolean timedOut = drainedAtMillis != Long.MAX_VALUE && nowMillis - drainedAtMillis >= FINAL_REPORT_TIMEOUT_MILLIS;
+        settled = alone || reporter.lastReportAcknowledged() || timedOut;
     }
 
     /** Returns whether the process may end: the holder has its last counts, or there is none to be found. From any thread. */
--- a/gateway/src/main/java/org/tanagerhinge/gateway/DutyTelemetry.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/DutyTelemetry.java
@@ -28,11 +28,11 @@
     }
 
     @Override
-    public void dutyLost(long token, String why) {
+    public void dutyLost(long token, String reason) {
         gateway.count("duty_lost");
         LogLine.failure(LogEvent.DUTY_LOST)
                 .with(LogField.TOKEN, token)
-                .with(LogField.WHY, why)
+                .with(LogField.WHY, reason)
                 .write();
     }
 
@@ -63,11 +63,11 @@
     }
 
     @Override
-    public void windowMissed(long window, String why) {
+    public void windowMissed(long window, String reason) {
         gateway.count("usage_missed");
         LogLine.failure(LogEvent.USAGE_MISSED)
                 .with(LogField.WINDOW, window)
-                .with(LogField.WHY, why)
+                .with(LogField.WHY, reason)
                 .write();
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/EarlyListener.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/EarlyListener.java
@@ -34,9 +34,9 @@
             }
             String ip = text.substring(line + LISTEN_KEY.length(), colon);
             int port = Integer.parseInt(text.substring(colon + 1, end));
-            ServerSocketChannel door = ServerSocketChannel.open();
-            door.bind(new InetSocketAddress(InetAddress.ofLiteral(ip), port), BACKLOG);
-            return Optional.of(door);
+            ServerSocketChannel channel = ServerSocketChannel.open();
+            channel.bind(new InetSocketAddress(InetAddress.ofLiteral(ip), port), BACKLOG);
+            return Optional.of(channel);
         } catch (IOException | IllegalArgumentException e) {
             // The settings are read and checked later, and what is wrong with them is reported then.
             return Optional.empty();
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
@@ -138,16 +138,16 @@
     }
 
     /** Takes what a server says of itself in an answer. */
-    private void responseReceived(ServerInstance server, int status, BackendResponseMetadata terms) {
-        long now = nowMillis();
-        if (terms.leaving() && serverAnnouncements.recordLeaving(server.instanceId(), now)) {
+    private void responseReceived(ServerInstance server, int status, BackendResponseMetadata metadata) {
+        long nowMillis = nowMillis();
+        if (metadata.leaving() && serverAnnouncements.recordLeaving(server.instanceId(), nowMillis)) {
             logServerLeaving(server.id(), "said so in an answer");
             count("server_leaving_said");
         }
         if (status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
-                && terms.retryAfterMillis().isPresent()) {
-            long millis = terms.retryAfterMillis().getAsLong();
-            serverAnnouncements.recordBackoff(server.instanceId(), now + millis);
+                && metadata.retryAfterMillis().isPresent()) {
+            long millis = metadata.retryAfterMillis().getAsLong();
+            serverAnnouncements.recordBackoff(server.instanceId(), nowMillis + millis);
             count("server_wants_nothing");
             LogLine.of(LogEvent.SERVER_WANTS_NOTHING)
                     .with(LogField.SERVER, server.id())
@@ -157,17 +157,17 @@
     }
 
     /** A peer was told by a server that it leaves. */
-    void serverLeavingReported(String life) {
-        if (serverAnnouncements.recordPeerReportedLeaving(life, nowMillis())) {
-            logServerLeaving(life, "told by a peer");
+    void serverLeavingReported(String instanceId) {
+        if (serverAnnouncements.recordPeerReportedLeaving(instanceId, nowMillis())) {
+            logServerLeaving(instanceId, "told by a peer");
             count("server_leaving_heard");
         }
     }
 
-    private static void logServerLeaving(String server, String why) {
+    private static void logServerLeaving(String server, String reason) {
         LogLine.of(LogEvent.SERVER_LEAVING)
                 .with(LogField.SERVER, server)
-                .with(LogField.WHY, why)
+                .with(LogField.WHY, reason)
                 .write();
     }
 
@@ -223,11 +223,11 @@
         }
     }
 
-    private void logQuarantine(RequestFingerprint request, String why) {
+    private void logQuarantine(RequestFingerprint request, String reason) {
         count("request_held");
         LogLine.failure(LogEvent.REQUEST_HELD)
                 .with(LogField.FINGERPRINT, request.toString())
-                .with(LogField.WHY, why)
+                .with(LogField.WHY, reason)
                 .write();
     }
 
@@ -313,7 +313,7 @@
         if (config.isPresent() && config.get().version() >= newer.version()) {
             return false;
         }
-        boolean wasInformed = initialized();
+        boolean wasInitialized = initialized();
         config = Optional.of(newer);
         configDocument = document;
         LogLine.of(LogEvent.CONFIGURATION)
@@ -322,14 +322,14 @@
                 .with(LogField.RANKS, newer.rankSummary())
                 .write();
         placement.updateMinEventGap(newer.minEventGapMillis());
-        notifyInitialized(wasInformed);
+        notifyInitialized(wasInitialized);
         return true;
     }
 
     /** Takes a list of registered servers that was asked for at a time; returns whether it changed anything. */
-    boolean apply(List<ServerRegistration> registrations, long askedAt) {
-        boolean wasInformed = initialized();
-        List<ServerChange> changes = directory.apply(registrations, askedAt);
+    boolean apply(List<ServerRegistration> registrations, long requestedAtMillis) {
+        boolean wasInitialized = initialized();
+        List<ServerChange> changes = directory.apply(registrations, requestedAtMillis);
         for (ServerChange change : changes) {
             LogLine.of(event(change.kind()))
                     .with(LogField.SERVER, change.id())
@@ -339,7 +339,7 @@
                 placement.forgetInstance(change.instanceId());
             }
         }
-        notifyInitialized(wasInformed);
+        notifyInitialized(wasInitialized);
         return !changes.isEmpty();
     }
 
@@ -352,8 +352,8 @@
     }
 
     /** Notes that a peer gave an engine parts of a prompt to read. */
-    void promptSentByPeer(String life, List<PromptPart> parts) {
-        ServerInstance server = directory.instance(life);
+    void promptSentByPeer(String instanceId, List<PromptPart> parts) {
+        ServerInstance server = directory.instance(instanceId);
         if (server != null && config.isPresent()) {
             placement.recordPeerPrefill(server, config.get().service(server.service()), parts, nowMillis());
         }
@@ -375,37 +375,37 @@
      * ones are left out as long as half of the servers are left: when most seem to fail, the cause is hardly theirs, and
      * leaving them out would only crowd the rest.
      */
-    List<ServerInstance> candidates(String service, Set<String> tried, long now) {
+    List<ServerInstance> candidates(String service, Set<String> tried, long nowMillis) {
         List<ServerInstance> open = directory.available(service).stream()
-                .filter(server -> serverAnnouncements.acceptsRequests(server.instanceId(), now))
+                .filter(server -> serverAnnouncements.acceptsRequests(server.instanceId(), nowMillis))
                 .toList();
         List<ServerInstance> usable = new ArrayList<>();
         List<ServerInstance> untried = new ArrayList<>();
-        int sound = 0;
+        int healthyCount = 0;
         for (ServerInstance server : open) {
-            boolean fine = !enabled(Mechanism.EJECTION) || (server.health().usable(now) && !silent(server, now));
-            sound += fine ? 1 : 0;
+            boolean healthy = !enabled(Mechanism.EJECTION) || (server.health().usable(nowMillis) && !silent(server, nowMillis));
+            healthyCount += healthy ? 1 : 0;
             if (!tried.contains(server.id())) {
                 untried.add(server);
-                if (fine) {
+                if (healthy) {
                     usable.add(server);
                 }
             }
         }
         for (ServerInstance server : untried) {
-            if (enabled(Mechanism.EJECTION) && server.health().probeDue(now)) {
+            if (enabled(Mechanism.EJECTION) && server.health().probeDue(nowMillis)) {
                 if (enabled(Mechanism.PROBING)) {
-                    server.health().recordProbe(now);
+                    server.health().recordProbe(nowMillis);
                     return List.of(server);
                 }
                 server.health().recordSuccess();
             }
         }
-        return usable.isEmpty() || sound * 2 < open.size() ? untried : usable;
+        return usable.isEmpty() || healthyCount * 2 < open.size() ? untried : usable;
     }
 
-    private boolean silent(ServerInstance server, long now) {
-        return now - lastSweepMillis < STALL_MILLIS && server.silenceMillis(now) > SILENT_SERVER_MILLIS;
+    private boolean silent(ServerInstance server, long nowMillis) {
+        return nowMillis - lastSweepMillis < STALL_MILLIS && server.silenceMillis(nowMillis) > SILENT_SERVER_MILLIS;
     }
 
     void attemptFailed(ServerInstance server, AttemptEnd end) {
@@ -482,15 +482,15 @@
 
     /** Returns how long a caller for whom there is no server should wait: until the first one takes requests again. */
     long retryAfterMillis(String service) {
-        long now = nowMillis();
-        long first = directory.available(service).stream()
-                .filter(server -> !serverAnnouncements.isLeaving(server.instanceId(), now))
-                .mapToLong(server -> serverAnnouncements.backoffMillis(server.instanceId(), now))
+        long nowMillis = nowMillis();
+        long firstMillis = directory.available(service).stream()
+                .filter(server -> !serverAnnouncements.isLeaving(server.instanceId(), nowMillis))
+                .mapToLong(server -> serverAnnouncements.backoffMillis(server.instanceId(), nowMillis))
                 .min()
                 .orElse(0);
-        return first == 0
+        return firstMillis == 0
                 ? retryAfterMillis()
-                : first + ThreadLocalRandom.current().nextInt(MIN_RETRY_AFTER_MILLIS);
+                : firstMillis + ThreadLocalRandom.current().nextInt(MIN_RETRY_AFTER_MILLIS);
     }
 
     void callerConnected(CallerConnection caller) {
@@ -521,8 +521,8 @@
         return config.isPresent() && directory.hasList();
     }
 
-    private void notifyInitialized(boolean wasInformed) {
-        if (!wasInformed && initialized()) {
+    private void notifyInitialized(boolean wasInitialized) {
+        if (!wasInitialized && initialized()) {
             Set.copyOf(exchanges).forEach(RelayExchange::gatewayInitialized);
         }
     }
@@ -552,17 +552,17 @@
     }
 
     private void sweep() {
-        long now = nowMillis();
-        boolean stoodStill = now - lastSweepMillis > STALL_MILLIS;
-        lastSweepMillis = now;
-        if (stoodStill) {
-            directory.all().forEach(server -> server.recordReceived(now));
+        long nowMillis = nowMillis();
+        boolean stalled = nowMillis - lastSweepMillis > STALL_MILLIS;
+        lastSweepMillis = nowMillis;
+        if (stalled) {
+            directory.all().forEach(server -> server.recordReceived(nowMillis));
         } else {
             Set.copyOf(exchanges).forEach(exchange -> exchange.abandonSilentServer(ABANDON_STREAM_MILLIS));
         }
-        Set.copyOf(callers).forEach(caller -> caller.sweep(now));
-        pool.sweep(server -> serverAnnouncements.isLeaving(server.instanceId(), now));
-        quarantine.trim(now);
-        serverAnnouncements.removeExpired(now);
+        Set.copyOf(callers).forEach(caller -> caller.sweep(nowMillis));
+        pool.sweep(server -> serverAnnouncements.isLeaving(server.instanceId(), nowMillis));
+        quarantine.trim(nowMillis);
+        serverAnnouncements.removeExpired(nowMillis);
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
@@ -77,17 +77,17 @@
             PlacementPolicy placement,
             Function<EventLoopGroup, MetadataStore> store,
             Function<EventLoopGroup, DutyClient> dutyCalls,
-            Optional<ServerSocketChannel> early) {
+            Optional<ServerSocketChannel> earlySocket) {
         EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         NodeMetrics metrics = NodeMetrics.create();
         Gateway gateway = Gateway.create(loop, dialect, options, metrics, placement);
         GatewayDaemon daemon = new GatewayDaemon(loop, gateway, metrics, options);
-        daemon.openListeners(early);
+        daemon.openListeners(earlySocket);
         MetadataStore client = InstrumentedStore.of(store.apply(loop), metrics);
         PeerSynchronizer peers = PeerSynchronizer.open(gateway, loop, document -> decode(client, document));
         gateway.onSent(peers::promptSent);
         daemon.duties = options.duties()
-                .map(terms -> DutyParticipant.start(gateway, loop, peers, dutyCalls.apply(loop), terms, InstantSource.system()));
+                .map(dutyOptions -> DutyParticipant.start(gateway, loop, peers, dutyCalls.apply(loop), dutyOptions, InstantSource.system()));
         daemon.openPeerListener();
         daemon.registerGauges(peers);
         loop.next().execute(() -> StoreSynchronizer.start(gateway, client, peers));
@@ -101,8 +101,8 @@
         metrics.gauge("servers_age_seconds", "Age of the list of servers", gateway::serversAgeSeconds);
         metrics.gauge("peers_present", "Peers heard of late", gateway::peersPresent);
         metrics.gauge("peers_age_seconds", "Age of the oldest report of a present peer", peers::oldestReportSeconds);
-        duties.ifPresent(held -> metrics.gauge(
-                "usage_coverage", "Part of the known nodes whose counts the newest window held", held::coverage));
+        duties.ifPresent(participant -> metrics.gauge(
+                "usage_coverage", "Part of the known nodes whose counts the newest window held", participant::coverage));
         metrics.gauge("log_lines_dropped", "Log lines dropped since the start", LogSetup::dropped);
     }
 
@@ -114,7 +114,7 @@
         }
     }
 
-    private void openListeners(Optional<ServerSocketChannel> early) {
+    private void openListeners(Optional<ServerSocketChannel> earlySocket) {
         ChannelHandler status = new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
@@ -137,7 +137,7 @@
                 channel.pipeline().addLast(new HttpServerCodec(limits), new CallerConnection(gateway));
             }
         };
-        callerListener = early.map(socket -> adoptSocket(socket, callers)).orElseGet(() -> listen(options.listenAddress(), callers));
+        callerListener = earlySocket.map(socket -> adoptSocket(socket, callers)).orElseGet(() -> listen(options.listenAddress(), callers));
         LogSetup.node(options.name());
         LogLine.of(LogEvent.STARTED)
                 .with(LogField.WHY, "listening on " + options.listenAddress())
@@ -219,7 +219,7 @@
     @Override
     public void beginStop() {
         gateway.beginStop();
-        duties.ifPresent(held -> loop.next().execute(held::beginStop));
+        duties.ifPresent(participant -> loop.next().execute(participant::beginStop));
         loop.next().schedule(this::closeIntake, READINESS_DETECTION.toMillis(), TimeUnit.MILLISECONDS);
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/InstrumentedStore.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/InstrumentedStore.java
@@ -23,27 +23,27 @@
         return new InstrumentedStore(store, metrics);
     }
 
-    private <T> Consumer<Reply<T>> timed(String call, Consumer<Reply<T>> done) {
-        long began = System.nanoTime();
+    private <T> Consumer<Reply<T>> timed(String call, Consumer<Reply<T>> onReply) {
+        long startedAtNanos = System.nanoTime();
         return reply -> {
-            metrics.storeCall(call, reply.result(), Duration.ofNanos(System.nanoTime() - began));
-            done.accept(reply);
+            metrics.storeCall(call, reply.result(), Duration.ofNanos(System.nanoTime() - startedAtNanos));
+            onReply.accept(reply);
         };
     }
 
     @Override
-    public void listServers(long timeoutMillis, Consumer<Reply<ServerListing>> done) {
-        store.listServers(timeoutMillis, timed("servers", done));
+    public void listServers(long timeoutMillis, Consumer<Reply<ServerListing>> onReply) {
+        store.listServers(timeoutMillis, timed("servers", onReply));
     }
 
     @Override
-    public void readConfig(long timeoutMillis, Consumer<Reply<StoredConfig>> done) {
-        store.readConfig(timeoutMillis, timed("config", done));
+    public void readConfig(long timeoutMillis, Consumer<Reply<StoredConfig>> onReply) {
+        store.readConfig(timeoutMillis, timed("config", onReply));
     }
 
     @Override
-    public void watchConfig(long revision, long waitMillis, Consumer<Reply<StoredConfig>> done) {
-        store.watchConfig(revision, waitMillis, timed("config_watch", done));
+    public void watchConfig(long revision, long waitMillis, Consumer<Reply<StoredConfig>> onReply) {
+        store.watchConfig(revision, waitMillis, timed("config_watch", onReply));
     }
 
     @Override
@@ -52,27 +52,27 @@
     }
 
     @Override
-    public void registerGateway(String name, String address, Duration lease, Consumer<Reply<Long>> done) {
-        store.registerGateway(name, address, lease, timed("join", done));
+    public void registerGateway(String name, String address, Duration leaseId, Consumer<Reply<Long>> onReply) {
+        store.registerGateway(name, address, leaseId, timed("join", onReply));
     }
 
     @Override
-    public void keepAlive(long lease, Consumer<Reply<Boolean>> done) {
-        store.keepAlive(lease, timed("keep", done));
+    public void keepAlive(long leaseId, Consumer<Reply<Boolean>> onReply) {
+        store.keepAlive(leaseId, timed("keep", onReply));
     }
 
     @Override
-    public void listGateways(Consumer<Reply<List<String>>> done) {
-        store.listGateways(timed("gateways", done));
+    public void listGateways(Consumer<Reply<List<String>>> onReply) {
+        store.listGateways(timed("gateways", onReply));
     }
 
     @Override
-    public void quarantine(RequestFingerprint request, Duration time, Consumer<Reply<Long>> done) {
-        store.quarantine(request, time, timed("hold", done));
+    public void quarantine(RequestFingerprint request, Duration duration, Consumer<Reply<Long>> onReply) {
+        store.quarantine(request, duration, timed("hold", onReply));
     }
 
     @Override
-    public void listQuarantined(Consumer<Reply<List<RequestFingerprint>>> done) {
-        store.listQuarantined(timed("held", done));
+    public void listQuarantined(Consumer<Reply<List<RequestFingerprint>>> onReply) {
+        store.listQuarantined(timed("held", onReply));
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/MetadataStore.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/MetadataStore.java
@@ -11,10 +11,10 @@
 /** The calls to the platform's store that a gateway makes; callbacks come on the event loop. */
 public interface MetadataStore {
     /** Reads the servers' registrations; fails if a page has no answer within a time in milliseconds. */
-    void listServers(long timeoutMillis, Consumer<Reply<ServerListing>> done);
+    void listServers(long timeoutMillis, Consumer<Reply<ServerListing>> onReply);
 
     /** Reads the newest configuration; fails if there is no answer within a time in milliseconds. */
-    void readConfig(long timeoutMillis, Consumer<Reply<StoredConfig>> done);
+    void readConfig(long timeoutMillis, Consumer<Reply<StoredConfig>> onReply);
 
     /**
      * Waits for a configuration that is newer than a revision of the store.
@@ -22,7 +22,7 @@
      * @param waitMillis how long the store may wait for one
      * @param done gets the newest configuration, or one without content if there is none
      */
-    void watchConfig(long revision, long waitMillis, Consumer<Reply<StoredConfig>> done);
+    void watchConfig(long revision, long waitMillis, Consumer<Reply<StoredConfig>> onReply);
 
     /** Reads a configuration document. */
     RelayConfig decodeConfig(byte[] document) throws IOException;
@@ -33,19 +33,19 @@
      * @param address IP:PORT
      * @param done gets the lease
      */
-    void registerGateway(String name, String address, Duration lease, Consumer<Reply<Long>> done);
+    void registerGateway(String name, String address, Duration leaseId, Consumer<Reply<Long>> onReply);
 
     /** Keeps a lease; {@code done} gets whether it still holds. */
-    void keepAlive(long lease, Consumer<Reply<Boolean>> done);
+    void keepAlive(long leaseId, Consumer<Reply<Boolean>> onReply);
 
     /** Reads where the gateways answer each other, IP:PORT each. */
-    void listGateways(Consumer<Reply<List<String>>> done);
+    void listGateways(Consumer<Reply<List<String>>> onReply);
 
     /** Keeps a request in quarantine for a time, also for gateways that start later. */
-    void quarantine(RequestFingerprint request, Duration time, Consumer<Reply<Long>> done);
+    void quarantine(RequestFingerprint request, Duration duration, Consumer<Reply<Long>> onReply);
 
     /** Reads which requests are in quarantine. */
-    void listQuarantined(Consumer<Reply<List<RequestFingerprint>>> done);
+    void listQuarantined(Consumer<Reply<List<RequestFingerprint>>> onReply);
 
     /**
      * The servers' registrations as the store holds them.
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
@@ -49,8 +49,8 @@
     /** A server list with its age in milliseconds. */
     record ServerSnapshot(List<ServerRegistration> list, long ageMillis) {}
 
-    static byte[] state(PeerMessage told) {
-        PeerReport report = told.report();
+    static byte[] state(PeerMessage message) {
+        PeerReport report = message.report();
         PeerState.Builder state = PeerState.newBuilder()
                 .setName(report.name())
                 .setIncarnation(report.incarnation())
@@ -72,18 +72,18 @@
                         .setShortRunning(demand.shortInFlight())
                         .setShortTokens(demand.shortTokensPerSecond())
                         .setLongTokens(demand.longTokensPerSecond())));
-        for (CachedPrefix kept : told.cachedPrefixes()) {
-            KeptParts.Builder parts = KeptParts.newBuilder().setServer(kept.instanceId());
-            kept.parts()
+        for (CachedPrefix cachedPrefix : message.cachedPrefixes()) {
+            KeptParts.Builder parts = KeptParts.newBuilder().setServer(cachedPrefix.instanceId());
+            cachedPrefix.parts()
                     .forEach(part ->
                             parts.addParts(Part.newBuilder().setId(part.id()).setTokens(part.tokens())));
             state.addKept(parts);
         }
-        told.suspicions().forEach(suspicion -> state.addSuspected(encodeSuspicion(suspicion)));
-        state.addAllLeaving(told.leavingInstances());
-        state.setTimeOfDayMillis(told.dutyStatus().wallClockMillis())
-                .setPower(told.dutyStatus().preference())
-                .setUsageToken(told.dutyStatus().fencingToken());
+        message.suspicions().forEach(suspicion -> state.addSuspected(encodeSuspicion(suspicion)));
+        state.addAllLeaving(message.leavingInstances());
+        state.setTimeOfDayMillis(message.dutyStatus().wallClockMillis())
+                .setPower(message.dutyStatus().preference())
+                .setUsageToken(message.dutyStatus().fencingToken());
         return state.build().toByteArray();
     }
 
@@ -99,9 +99,9 @@
                     demand.getService(),
                     new LaneDemand(demand.getShortRunning(), demand.getShortTokens(), demand.getLongTokens()));
         }
-        List<CachedPrefix> kept = new ArrayList<>();
+        List<CachedPrefix> cachedPrefix = new ArrayList<>();
         for (KeptParts parts : state.getKeptList()) {
-            kept.add(new CachedPrefix(
+            cachedPrefix.add(new CachedPrefix(
                     parts.getServer(),
                     parts.getPartsList().stream()
                             .map(part -> new PromptPart(part.getId(), part.getTokens()))
@@ -123,7 +123,7 @@
                 state.getSuspectedList().stream().map(PeerCodec::decodeSuspicion).toList();
         DutyAnnouncement duty =
                 new DutyAnnouncement(state.getTimeOfDayMillis(), state.getPower(), state.getUsageToken());
-        return new PeerMessage(report, kept, suspicions, List.copyOf(state.getLeavingList()), duty);
+        return new PeerMessage(report, cachedPrefix, suspicions, List.copyOf(state.getLeavingList()), duty);
     }
 
     private static SuspectedRequest encodeSuspicion(Quarantine.Suspicion suspicion) {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerRequestHandler.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerRequestHandler.java
@@ -22,11 +22,11 @@
 
     private final Gateway gateway;
 
-    private final Optional<DutyParticipant> duties;
+    private final Optional<DutyParticipant> dutyParticipant;
 
-    PeerRequestHandler(Gateway gateway, Optional<DutyParticipant> duties) {
+    PeerRequestHandler(Gateway gateway, Optional<DutyParticipant> dutyParticipant) {
         this.gateway = gateway;
-        this.duties = duties;
+        this.dutyParticipant = dutyParticipant;
     }
 
     @Override
@@ -49,7 +49,7 @@
     private Optional<byte[]> receiveUsage(FullHttpRequest request) {
         byte[] body = ByteBufUtil.getBytes(request.content());
         try {
-            return duties.isPresent() ? duties.get().receiveReports(body) : Optional.empty();
+            return dutyParticipant.isPresent() ? dutyParticipant.get().receiveReports(body) : Optional.empty();
         } catch (InvalidProtocolBufferException e) {
             gateway.count("peer_report_unreadable");
             return Optional.empty();
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerSynchronizer.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerSynchronizer.java
@@ -63,7 +63,7 @@
     private BooleanSupplier storeReachable = () -> true;
     private Runnable configFetchFailureListener = () -> {};
     private Supplier<DutyAnnouncement> dutyStatus = () -> DutyAnnouncement.NONE;
-    private BiConsumer<String, DutyAnnouncement> dutyListener = (peer, word) -> {};
+    private BiConsumer<String, DutyAnnouncement> dutyListener = (peer, status) -> {};
     private long sequence;
     private long tokensSinceReport;
     private long reportedAtMillis;
@@ -116,8 +116,8 @@
     }
 
     /** Tells {@code word} of duties with each report, and {@code listener} what each peer tells of them. */
-    void exchangeDutyStatus(Supplier<DutyAnnouncement> word, BiConsumer<String, DutyAnnouncement> listener) {
-        dutyStatus = word;
+    void exchangeDutyStatus(Supplier<DutyAnnouncement> status, BiConsumer<String, DutyAnnouncement> listener) {
+        dutyStatus = status;
         dutyListener = listener;
     }
 
@@ -130,8 +130,8 @@
     }
 
     /** Takes the addresses at which gateways answer, from the platform's store. */
-    void addresses(List<String> texts) {
-        for (String text : texts) {
+    void addresses(List<String> addresses) {
+        for (String text : addresses) {
             addPeerAddress(text);
         }
         reportNow();
@@ -200,31 +200,31 @@
      */
     private void sendReport(List<Quarantine.Suspicion> standing) {
         PeerReport state = currentReport();
-        List<Quarantine.Suspicion> news = gateway.quarantine().news(gateway.nowMillis());
+        List<Quarantine.Suspicion> unreported = gateway.quarantine().news(gateway.nowMillis());
         List<String> leaving = gateway.serverAnnouncements().nextLeavingReport();
-        byte[] bytes = PeerCodec.state(new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), news, leaving, dutyStatus.get()));
-        byte[] more = bytes;
-        int chosen = -1;
+        byte[] bytes = PeerCodec.state(new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), unreported, leaving, dutyStatus.get()));
+        byte[] fullBytes = bytes;
+        int fullReportIndex = -1;
         if (!standing.isEmpty() && !addresses.isEmpty()) {
-            List<Quarantine.Suspicion> all = new ArrayList<>(news);
+            List<Quarantine.Suspicion> all = new ArrayList<>(unreported);
             all.addAll(standing);
-            more = PeerCodec.state(new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), all, leaving, dutyStatus.get()));
+            fullBytes = PeerCodec.state(new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), all, leaving, dutyStatus.get()));
             fullReportTurn = (fullReportTurn + 1) % addresses.size();
-            chosen = fullReportTurn;
+            fullReportIndex = fullReportTurn;
         }
         pendingPrefixes.clear();
         tokensSinceReport = 0;
         reportedAtMillis = gateway.nowMillis();
         int index = 0;
         for (InetSocketAddress address : addresses) {
-            channel.write(new DatagramPacket(Unpooled.wrappedBuffer(index == chosen ? more : bytes), address));
+            channel.write(new DatagramPacket(Unpooled.wrappedBuffer(index == fullReportIndex ? fullBytes : bytes), address));
             index++;
         }
         channel.flush();
     }
 
     private PeerReport currentReport() {
-        long now = gateway.nowMillis();
+        long nowMillis = gateway.nowMillis();
         Map<String, PeerReport.InstanceLoad> uses = new HashMap<>();
         for (ServerInstance server : gateway.directory().all()) {
             if (server.inFlight() > 0) {
@@ -240,37 +240,37 @@
                 address(),
                 storeReachable.getAsBoolean(),
                 gateway.configVersion(),
-                gateway.directory().hasList() ? now - gateway.directory().newestListMillis() : Integer.MAX_VALUE,
+                gateway.directory().hasList() ? nowMillis - gateway.directory().newestListMillis() : Integer.MAX_VALUE,
                 gateway.directory().digest(),
                 intervalMillis(),
                 uses,
-                gateway.placement().localDemands(now));
+                gateway.placement().localDemands(nowMillis));
     }
 
-    private void receive(PeerCodec.PeerMessage told) {
-        PeerReport report = told.report();
-        long now = gateway.nowMillis();
-        Map<String, PeerReport.InstanceLoad> before = table.loads(report.name(), now);
-        if (!table.accept(report, now)) {
+    private void receive(PeerCodec.PeerMessage message) {
+        PeerReport report = message.report();
+        long nowMillis = gateway.nowMillis();
+        Map<String, PeerReport.InstanceLoad> before = table.loads(report.name(), nowMillis);
+        if (!table.accept(report, nowMillis)) {
             return;
         }
         addPeerAddress(report.address());
-        dutyListener.accept(report.name(), told.dutyStatus());
+        dutyListener.accept(report.name(), message.dutyStatus());
         gateway.budget().nodes(table.nodeCount());
-        for (PeerCodec.CachedPrefix parts : told.cachedPrefixes()) {
+        for (PeerCodec.CachedPrefix parts : message.cachedPrefixes()) {
             gateway.promptSentByPeer(parts.instanceId(), parts.parts());
         }
-        told.suspicions().forEach(gateway::suspicionReceived);
-        told.leavingInstances().forEach(gateway::serverLeavingReported);
+        message.suspicions().forEach(gateway::suspicionReceived);
+        message.leavingInstances().forEach(gateway::serverLeavingReported);
         applyLoadChange(before, report.loads());
         if (report.configVersion() > gateway.configVersion()) {
             requestConfig(report);
         }
-        long age = gateway.directory().hasList() ? now - gateway.directory().newestListMillis() : Long.MAX_VALUE;
+        long age = gateway.directory().hasList() ? nowMillis - gateway.directory().newestListMillis() : Long.MAX_VALUE;
         if (report.serverListAgeMillis() + MIN_AGE_GAIN_MILLIS < age) {
             if (report.serverListDigest() == gateway.directory().digest()
                     && gateway.directory().hasList()) {
-                gateway.directory().confirmList(now - report.serverListAgeMillis());
+                gateway.directory().confirmList(nowMillis - report.serverListAgeMillis());
             } else {
                 requestServers(report);
             }
@@ -291,59 +291,59 @@
 
     /** Gives placement what the peers have in progress and what their callers ask. */
     private void refreshTotals() {
-        long now = gateway.nowMillis();
-        boolean heard = table.anyPresent(now) && gateway.enabled(Mechanism.PEER_LOAD);
-        gateway.peerLoadAvailable(heard);
-        if (!heard) {
+        long nowMillis = gateway.nowMillis();
+        boolean anyPresent = table.anyPresent(nowMillis) && gateway.enabled(Mechanism.PEER_LOAD);
+        gateway.peerLoadAvailable(anyPresent);
+        if (!anyPresent) {
             return;
         }
-        load.applyTotals(gateway.directory().all(), table.loads(now));
-        gateway.placement().updatePeerDemands(table.demands(now));
+        load.applyTotals(gateway.directory().all(), table.loads(nowMillis));
+        gateway.placement().updatePeerDemands(table.demands(nowMillis));
     }
 
-    private void logPresenceChanges(long now) {
-        Set<String> newly = table.present(now);
-        for (String name : newly) {
+    private void logPresenceChanges(long nowMillis) {
+        Set<String> nowPresent = table.present(nowMillis);
+        for (String name : nowPresent) {
             if (!presentPeers.contains(name)) {
                 LogLine.of(LogEvent.PEER_BACK).with(LogField.SERVER, name).write();
             }
         }
         for (String name : presentPeers) {
-            if (!newly.contains(name)) {
+            if (!nowPresent.contains(name)) {
                 gateway.count("peer_lost");
                 LogLine.failure(LogEvent.PEER_LOST).with(LogField.SERVER, name).write();
             }
         }
-        presentPeers = newly;
-        gateway.peersPresent(newly.size());
+        presentPeers = nowPresent;
+        gateway.peersPresent(nowPresent.size());
     }
 
     /** Returns the age of the oldest report of a present peer, in seconds; not a number without one. */
     double oldestReportSeconds() {
-        long now = gateway.nowMillis();
+        long nowMillis = gateway.nowMillis();
         return table.peers().stream()
-                .filter(peer -> PeerTable.present(peer, now))
-                .mapToDouble(peer -> (now - peer.receivedAtMillis()) / 1000.0)
+                .filter(peer -> PeerTable.present(peer, nowMillis))
+                .mapToDouble(peer -> (nowMillis - peer.receivedAtMillis()) / 1000.0)
                 .max()
                 .orElse(Double.NaN);
     }
 
-    private void requestConfig(PeerReport ahead) {
+    private void requestConfig(PeerReport aheadPeer) {
         if (configRequestInFlight) {
             return;
         }
         configRequestInFlight = true;
-        request(ahead, PeerRequestHandler.CONFIG_PATH, body -> {
+        request(aheadPeer, PeerRequestHandler.CONFIG_PATH, body -> {
             configRequestInFlight = false;
             if (body != null) {
                 try {
                     gateway.apply(decoder.apply(body), body);
                 } catch (IllegalArgumentException e) {
-                    LOG.log(Level.ERROR, "configuration of peer " + ahead.name() + ": " + e.getMessage());
+                    LOG.log(Level.ERROR, "configuration of peer " + aheadPeer.name() + ": " + e.getMessage());
                 }
             }
-            if (gateway.configVersion() < ahead.configVersion()) {
-                configFetchFailed(ahead);
+            if (gateway.configVersion() < aheadPeer.configVersion()) {
+                configFetchFailed(aheadPeer);
             }
         });
     }
@@ -352,49 +352,49 @@
      * Datagrams come from a peer that can't be asked: packets get through one way only, or it takes no connection. Its reports
      * alone keep this gateway from reading the store, so for as long as that lasts it would stay behind without an end.
      */
-    private void configFetchFailed(PeerReport ahead) {
+    private void configFetchFailed(PeerReport aheadPeer) {
         gateway.count("peer_ask_failed");
-        if (loggedConfigVersion != ahead.configVersion()) {
-            loggedConfigVersion = ahead.configVersion();
+        if (loggedConfigVersion != aheadPeer.configVersion()) {
+            loggedConfigVersion = aheadPeer.configVersion();
             LogLine.failure(LogEvent.PEER_ASK_FAILED)
-                    .with(LogField.SERVER, ahead.name())
-                    .with(LogField.CONFIG, ahead.configVersion())
+                    .with(LogField.SERVER, aheadPeer.name())
+                    .with(LogField.CONFIG, aheadPeer.configVersion())
                     .write();
         }
         configFetchFailureListener.run();
     }
 
-    private void requestServers(PeerReport ahead) {
+    private void requestServers(PeerReport aheadPeer) {
         if (serversRequestInFlight) {
             return;
         }
         serversRequestInFlight = true;
-        long asked = gateway.nowMillis();
-        request(ahead, PeerRequestHandler.SERVERS_PATH, body -> {
+        long requestedAtMillis = gateway.nowMillis();
+        request(aheadPeer, PeerRequestHandler.SERVERS_PATH, body -> {
             serversRequestInFlight = false;
             if (body != null) {
                 try {
                     PeerCodec.ServerSnapshot servers = PeerCodec.servers(body);
-                    gateway.apply(servers.list(), asked - servers.ageMillis());
+                    gateway.apply(servers.list(), requestedAtMillis - servers.ageMillis());
                 } catch (IOException e) {
-                    LOG.log(Level.ERROR, "server list of peer " + ahead.name() + ": " + e.getMessage());
+                    LOG.log(Level.ERROR, "server list of peer " + aheadPeer.name() + ": " + e.getMessage());
                 }
             }
         });
     }
 
-    private void request(PeerReport peer, String path, java.util.function.Consumer<byte[]> done) {
+    private void request(PeerReport peer, String path, java.util.function.Consumer<byte[]> onResponse) {
         InetSocketAddress address;
         try {
             address = PeerCodec.address(peer.address());
         } catch (InvalidProtocolBufferException e) {
-            done.accept(null);
+            onResponse.accept(null);
             return;
         }
         SequentialHttpClient caller = SequentialHttpClient.of(loop, address);
         caller.call(HttpMethod.GET, path, "", REQUEST_TIMEOUT_MILLIS, answer -> {
             caller.close();
-            done.accept(answer.status() == 200 ? answer.body() : null);
+            onResponse.accept(answer.status() == 200 ? answer.body() : null);
         });
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
@@ -85,16 +85,16 @@
         gateway.requestSent(request, placed);
         firstOutputWait = RankGate.PendingRequest.of(server.instanceId(), exchange.rank(), startedAtMillis + route.targetMillis());
         gateway.rankGate().recordSent(firstOutputWait);
-        long mostIdle = route.idempotent() ? Long.MAX_VALUE : MAX_IDLE_NON_IDEMPOTENT_MILLIS;
-        BackendConnection kept = gateway.pool().pollIdle(server, mostIdle);
-        if (kept != null) {
-            transmit(kept);
+        long maxIdleMillis = route.idempotent() ? Long.MAX_VALUE : MAX_IDLE_NON_IDEMPOTENT_MILLIS;
+        BackendConnection pooled = gateway.pool().pollIdle(server, maxIdleMillis);
+        if (pooled != null) {
+            transmit(pooled);
             return;
         }
         gateway.pool().connect(server, fresh -> {
             if (finished) {
                 if (fresh != null) {
-                    gateway.pool().idle(fresh);
+                    gateway.pool().release(fresh);
                 }
             } else if (fresh == null) {
                 fail(AttemptEnd.NOT_SENT, "no connection");
@@ -139,26 +139,26 @@
     }
 
     @Override
-    public void responseHead(HttpResponse response, BackendResponseMetadata answerTerms) {
+    public void responseHead(HttpResponse response, BackendResponseMetadata metadata) {
         int status = response.status().code();
         server.recordReceived(gateway.nowMillis());
-        answerTerms.load().ifPresent(load -> gateway.loadReported(server, load));
+        metadata.load().ifPresent(load -> gateway.loadReported(server, load));
         if (status == 421) {
             gateway.serverReplaced(server);
             failKeepingConnection(AttemptEnd.WRONG_SERVER, "another server has the address");
-        } else if (answerTerms.notExecuted()) {
+        } else if (metadata.notExecuted()) {
             failKeepingConnection(AttemptEnd.NOT_RUN, "server refused with " + status);
         } else {
-            handleResponse(response, answerTerms);
+            handleResponse(response, metadata);
         }
     }
 
-    private void handleResponse(HttpResponse response, BackendResponseMetadata answerTerms) {
+    private void handleResponse(HttpResponse response, BackendResponseMetadata metadata) {
         int status = response.status().code();
         if (route.kind() != RouteKind.STREAM || status != HttpResponseStatus.OK.code()) {
             exchange.markExecutionStarted();
         }
-        if (!acceptable(response, answerTerms)) {
+        if (!acceptable(response, metadata)) {
             connection.abort();
             fail(AttemptEnd.BROKEN, "answer without signature or with a coding");
         } else if (status >= 500 && progress.headForwarded()) {
@@ -167,20 +167,20 @@
             retryBudgetTaken = true;
             failKeepingConnection(AttemptEnd.SERVER_ERROR, "server answered " + status);
         } else {
-            beginResponse(response, answerTerms);
+            beginResponse(response, metadata);
         }
     }
 
-    private static boolean acceptable(HttpResponse response, BackendResponseMetadata answerTerms) {
-        return answerTerms.sealed() && !response.headers().contains(HttpHeaderNames.CONTENT_ENCODING);
+    private static boolean acceptable(HttpResponse response, BackendResponseMetadata metadata) {
+        return metadata.sealed() && !response.headers().contains(HttpHeaderNames.CONTENT_ENCODING);
     }
 
-    private void beginResponse(HttpResponse response, BackendResponseMetadata answerTerms) {
+    private void beginResponse(HttpResponse response, BackendResponseMetadata metadata) {
         int status = response.status().code();
         this.response = response;
         if (route.kind() == RouteKind.STREAM && status == 200) {
             events = new EventSplitter(UnpooledByteBufAllocator.DEFAULT);
-            progress.startedWith(answerTerms.weightsVersion());
+            progress.startedWith(metadata.weightsVersion());
             return;
         }
         if (progress.headForwarded()) {
@@ -208,8 +208,8 @@
     }
 
     private void forwardEvents(ByteBuf bytes) {
-        long now = gateway.nowMillis();
-        server.recordReceived(now);
+        long nowMillis = gateway.nowMillis();
+        server.recordReceived(nowMillis);
         for (EventSplitter.Event event : events.feed(bytes)) {
             noteFirstOutput();
             if (finished || progress.alreadyForwarded(event.id())) {
@@ -219,7 +219,7 @@
             if (!progress.headForwarded()) {
                 forwardHead();
             }
-            progress.forwarded(event.id(), now);
+            progress.forwarded(event.id(), nowMillis);
             caller.writeChunk(event.bytes());
         }
         if (!finished && events.oversized()) {
@@ -263,31 +263,31 @@
         if (!exchange.method().equals(HttpMethod.HEAD)) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, buffered.readableBytes());
         }
-        ByteBuf whole = buffered;
+        ByteBuf body = buffered;
         buffered = null;
         exchange.responseCompleted(response.status().code(), server);
         caller.writeResponse(new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, response.status(), whole, headers, EmptyHttpHeaders.INSTANCE));
+                HttpVersion.HTTP_1_1, response.status(), body, headers, EmptyHttpHeaders.INSTANCE));
     }
 
     @Override
-    public void attemptFailed(AttemptEnd end, String why) {
-        fail(progress.headForwarded() && end == AttemptEnd.BROKEN ? AttemptEnd.CUT : end, why);
+    public void attemptFailed(AttemptEnd end, String reason) {
+        fail(progress.headForwarded() && end == AttemptEnd.BROKEN ? AttemptEnd.CUT : end, reason);
     }
 
     /** Leaves the rest of an answer that isn't wanted to the connection, which stays of use. */
-    private void failKeepingConnection(AttemptEnd end, String why) {
+    private void failKeepingConnection(AttemptEnd end, String reason) {
         connection.detach(() -> {});
-        fail(end, why);
+        fail(end, reason);
     }
 
-    private void fail(AttemptEnd end, String why) {
+    private void fail(AttemptEnd end, String reason) {
         if (finished) {
             return;
         }
         release();
         releaseBuffered();
-        exchange.attemptFailed(this, end, why, retryBudgetTaken);
+        exchange.attemptFailed(this, end, reason, retryBudgetTaken);
     }
 
     /** Stops the attempt because nobody waits for it any more. */
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
@@ -59,20 +59,20 @@
     private boolean executionStarted;
     private boolean finished;
 
-    private RelayExchange(Gateway gateway, CallerConnection caller, HttpRequest head, ByteBuf body, long arrived) {
+    private RelayExchange(Gateway gateway, CallerConnection caller, HttpRequest head, ByteBuf body, long arrivedAtMillis) {
         this.gateway = gateway;
         this.caller = caller;
         this.head = head;
         this.body = body;
-        this.arrivedAtMillis = arrived;
+        this.arrivedAtMillis = arrivedAtMillis;
         this.metadata = gateway.dialect().callerMetadata(head);
         this.progress = ResponseProgress.after(metadata.lastEventId());
-        this.telemetry = RequestTelemetry.of(gateway, metadata.attemptId(), arrived);
+        this.telemetry = RequestTelemetry.of(gateway, metadata.attemptId(), arrivedAtMillis);
     }
 
     /** Returns an exchange for a request that was read whole; its body is taken over. */
-    static RelayExchange of(Gateway gateway, CallerConnection caller, HttpRequest head, ByteBuf body, long arrived) {
-        return new RelayExchange(gateway, caller, head, body, arrived);
+    static RelayExchange of(Gateway gateway, CallerConnection caller, HttpRequest head, ByteBuf body, long arrivedAtMillis) {
+        return new RelayExchange(gateway, caller, head, body, arrivedAtMillis);
     }
 
     /** Finds the route and sends the request, or refuses it. */
@@ -112,8 +112,8 @@
             refuse(Refusal.of(401, ResultCode.UNKNOWN_KEY));
             return;
         }
-        long patience = Math.min(metadata.timeoutMillis().orElse(route.timeoutMillis()), route.timeoutMillis());
-        deadlineMillis = arrivedAtMillis + patience;
+        long timeoutMillis = Math.min(metadata.timeoutMillis().orElse(route.timeoutMillis()), route.timeoutMillis());
+        deadlineMillis = arrivedAtMillis + timeoutMillis;
         timer = gateway.schedule(this::deadlineExpired, Math.max(1, remainingMillis()));
         history = AttemptHistory.of(route.attemptTerms());
         service = route.service(metadata.attemptId().hashCode());
@@ -123,17 +123,17 @@
     }
 
     private void startAttempt() {
-        long now = gateway.nowMillis();
-        OptionalLong held = quarantineMillis(now);
-        if (held.isPresent()) {
+        long nowMillis = gateway.nowMillis();
+        OptionalLong quarantinedMillis = quarantineMillis(nowMillis);
+        if (quarantinedMillis.isPresent()) {
             telemetry.quarantined(fingerprint());
-            endWithoutResponse("servers end under it", Refusal.notRun(ResultCode.REQUEST_HELD, held.getAsLong()));
+            endWithoutResponse("servers end under it", Refusal.notRun(ResultCode.REQUEST_HELD, quarantinedMillis.getAsLong()));
             return;
         }
-        List<ServerInstance> candidates = gateway.candidates(service, triedServers, now);
+        List<ServerInstance> candidates = gateway.candidates(service, triedServers, nowMillis);
         PlacementRequest request =
                 new PlacementRequest(route, config.service(service), metadata.prompt(), gateway.domain());
-        Optional<PlacementPolicy.Decision> placed = gateway.placement().place(request, candidates, now);
+        Optional<PlacementPolicy.Decision> placed = gateway.placement().place(request, candidates, nowMillis);
         if (placed.isEmpty()) {
             failWithoutServer();
             return;
@@ -141,7 +141,7 @@
         ServerInstance chosen = placed.get().server();
         if (gateway.enabled(Mechanism.RANK_GATE)
                 && history.sends() == 0
-                && gateway.rankGate().mustYield(rank(), chosen.instanceId(), now)) {
+                && gateway.rankGate().mustYield(rank(), chosen.instanceId(), nowMillis)) {
             telemetry.yieldedToUrgent(chosen, rank());
             refuse(Refusal.notRun(ResultCode.QUEUE_FULL, gateway.retryAfterMillis()));
             return;
@@ -163,19 +163,19 @@
                 || !config.isLeastUrgent(workspace, route, service)) {
             return false;
         }
-        OptionalLong comeBack =
+        OptionalLong retryAfterMillis =
                 AdmissionControl.retryAfterMillis(route, placed.expectedWaitMillis(), remainingMillis(), gateway.randomFraction());
-        comeBack.ifPresent(millis -> {
+        retryAfterMillis.ifPresent(millis -> {
             telemetry.rejected(placed);
             refuse(Refusal.notRun(ResultCode.QUEUE_FULL, millis));
         });
-        return comeBack.isPresent();
+        return retryAfterMillis.isPresent();
     }
 
-    private OptionalLong quarantineMillis(long now) {
+    private OptionalLong quarantineMillis(long nowMillis) {
         return gateway.quarantine().empty()
                 ? OptionalLong.empty()
-                : gateway.quarantine().heldMillis(fingerprint(), now);
+                : gateway.quarantine().heldMillis(fingerprint(), nowMillis);
     }
 
     private void failWithoutServer() {
@@ -183,13 +183,13 @@
     }
 
     /** Ends the exchange without an answer of a server: {@code notRun} is told only if no server may have run it. */
-    private void endWithoutResponse(String why, Refusal notRun) {
+    private void endWithoutResponse(String reason, Refusal refusalIfNotRun) {
         if (progress.headForwarded()) {
-            truncate(why);
+            truncate(reason);
         } else if (history.mayHaveRun()) {
             refuse(Refusal.of(502, ResultCode.CONNECTION_LOST));
         } else {
-            refuse(notRun);
+            refuse(refusalIfNotRun);
         }
     }
 
@@ -278,28 +278,28 @@
     }
 
     /** Its attempt has failed; {@code paid} says whether the budget was asked already. */
-    void attemptFailed(RelayAttempt ended, AttemptEnd end, String why, boolean paid) {
+    void attemptFailed(RelayAttempt ended, AttemptEnd end, String reason, boolean retryBudgetTaken) {
         history.ended(end.mayHaveRun());
         if (end.mayHaveRun()) {
             markExecutionStarted();
         }
         gateway.attemptFailed(ended.server(), end);
         telemetry.attemptFailed(
-                end, why, ended.startedAtMillis(), progress, end.broken() ? Optional.of(fingerprint()) : Optional.empty());
+                end, reason, ended.startedAtMillis(), progress, end.broken() ? Optional.of(fingerprint()) : Optional.empty());
         attempt = null;
         if (end.broken()) {
             gateway.crashDetector().connectionBroke(ended.server(), fingerprint());
         }
-        boolean repeat = history.mayRepeat(end.mayHaveRun(), remainingMillis())
+        boolean retry = history.mayRepeat(end.mayHaveRun(), remainingMillis())
                 && (!end.mayHaveRun() || gateway.enabled(Mechanism.RETRIES))
                 && (!progress.headForwarded() || canResume())
-                && (paid || !end.arrived() || gateway.budget().take(service, gateway.nowMillis()));
-        if (repeat) {
+                && (retryBudgetTaken || !end.arrived() || gateway.budget().take(service, gateway.nowMillis()));
+        if (retry) {
             telemetry.retried(progress.headForwarded(), progress);
             startAttempt();
             return;
         }
-        endWithoutResponse(why, Refusal.notRun(ResultCode.NO_SERVER, gateway.retryAfterMillis(service)));
+        endWithoutResponse(reason, Refusal.notRun(ResultCode.NO_SERVER, gateway.retryAfterMillis(service)));
     }
 
     private boolean canResume() {
@@ -387,8 +387,8 @@
         caller.refuse(refusal);
     }
 
-    private void truncate(String why) {
-        telemetry.truncated(why, progress);
+    private void truncate(String reason) {
+        telemetry.truncated(reason, progress);
         finish();
         caller.abortResponse();
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
@@ -40,7 +40,7 @@
         return LogLine.of(event, failure).with(LogField.ID, id);
     }
 
-    void routed(Route found, Optional<WorkspaceConfig> workspace, String service, int rank, long leftMillis) {
+    void routed(Route found, Optional<WorkspaceConfig> workspace, String service, int rank, long remainingMillis) {
         route = Optional.of(found);
         logLine(LogEvent.ROUTED, false)
                 .with(LogField.ROUTE, found.name())
@@ -51,7 +51,7 @@
                         LogField.SERVERS_AGE_MS,
                         gateway.nowMillis() - gateway.directory().newestListMillis())
                 .with(LogField.RANK, rank)
-                .with(LogField.LEFT_MS, leftMillis)
+                .with(LogField.LEFT_MS, remainingMillis)
                 .write();
     }
 
@@ -79,16 +79,16 @@
 
     /** An attempt has failed; {@code broken} holds the request's fingerprint if its connection broke. */
     void attemptFailed(
-            AttemptEnd end, String why, long began, ResponseProgress progress, Optional<RequestFingerprint> broken) {
+            AttemptEnd end, String reason, long startedAtMillis, ResponseProgress progress, Optional<RequestFingerprint> suspect) {
         LogLine line = logLine(LogEvent.ATTEMPT_FAILED, true)
                 .with(LogField.SERVER, server)
                 .with(LogField.ATTEMPT, attempts)
                 .with(LogField.END, end.name().toLowerCase(Locale.ROOT))
-                .with(LogField.WHY, why)
+                .with(LogField.WHY, reason)
                 .with(LogField.RUN, end.mayHaveRun() ? "unknown" : "not_run")
                 .with(LogField.EVENT_ID, progress.lastEventId())
-                .with(LogField.MS, gateway.nowMillis() - began);
-        broken.ifPresent(fingerprint -> line.with(LogField.FINGERPRINT, fingerprint.toString()));
+                .with(LogField.MS, gateway.nowMillis() - startedAtMillis);
+        suspect.ifPresent(fingerprint -> line.with(LogField.FINGERPRINT, fingerprint.toString()));
         line.write();
     }
 
@@ -139,9 +139,9 @@
                 .write();
     }
 
-    void truncated(String why, ResponseProgress progress) {
+    void truncated(String reason, ResponseProgress progress) {
         gateway.count("answer_cut");
-        finalLine(LogEvent.CUT, true, progress).with(LogField.WHY, why).write();
+        finalLine(LogEvent.CUT, true, progress).with(LogField.WHY, reason).write();
     }
 
     void callerDisconnected(ResponseProgress progress) {
@@ -151,22 +151,22 @@
 
     /** The answer was passed on whole. */
     void completed(int status, ResponseProgress progress) {
-        long now = gateway.nowMillis();
-        boolean late = missedTarget(now, progress);
+        long nowMillis = gateway.nowMillis();
+        boolean late = missedTarget(nowMillis, progress);
         finalLine(LogEvent.ENDED, late || status >= 400, progress)
                 .with(LogField.STATUS, status)
                 .with(LogField.LATE, late)
                 .write();
-        route.ifPresent(of -> recordTimes(label(of), now, progress));
+        route.ifPresent(current -> recordTimes(label(current), nowMillis, progress));
         if (late) {
             gateway.count("answered_late");
         }
     }
 
-    private void recordTimes(String label, long now, ResponseProgress progress) {
-        long first = progress.firstEventAtMillis() < 0 ? 0 : progress.firstEventAtMillis() - arrivedAtMillis;
+    private void recordTimes(String label, long nowMillis, ResponseProgress progress) {
+        long firstEventMillis = progress.firstEventAtMillis() < 0 ? 0 : progress.firstEventAtMillis() - arrivedAtMillis;
         NodeMetrics metrics = gateway.metrics();
-        metrics.times(label, Duration.ofMillis(first), Duration.ZERO, Duration.ofMillis(now - arrivedAtMillis));
+        metrics.times(label, Duration.ofMillis(firstEventMillis), Duration.ZERO, Duration.ofMillis(nowMillis - arrivedAtMillis));
         metrics.longestPause(label, Duration.ofMillis(progress.longestGapMillis()));
     }
 
@@ -189,15 +189,15 @@
         return line;
     }
 
-    private boolean missedTarget(long now, ResponseProgress progress) {
+    private boolean missedTarget(long nowMillis, ResponseProgress progress) {
         if (route.isEmpty() || route.get().targetMillis() <= 0) {
             return false;
         }
-        Route of = route.get();
-        if (of.kind() != RouteKind.STREAM || progress.firstEventAtMillis() < 0) {
-            return now - arrivedAtMillis > of.targetMillis();
+        Route current = route.get();
+        if (current.kind() != RouteKind.STREAM || progress.firstEventAtMillis() < 0) {
+            return nowMillis - arrivedAtMillis > current.targetMillis();
         }
-        return progress.firstEventAtMillis() - arrivedAtMillis > of.targetMillis()
-                || (of.maxEventGapMillis() > 0 && progress.longestGapMillis() > of.maxEventGapMillis());
+        return progress.firstEventAtMillis() - arrivedAtMillis > current.targetMillis()
+                || (current.maxEventGapMillis() > 0 && progress.longestGapMillis() > current.maxEventGapMillis());
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/ResponseProgress.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/ResponseProgress.java
@@ -14,9 +14,9 @@
     private long longestGapMillis;
 
     /** Returns the progress of a request that asks for the events after one; 0 for all. */
-    static ResponseProgress after(long event) {
+    static ResponseProgress after(long eventId) {
         ResponseProgress progress = new ResponseProgress();
-        progress.lastEventId = event;
+        progress.lastEventId = eventId;
         return progress;
     }
 
@@ -29,22 +29,22 @@
     }
 
     /** Returns whether an event was passed on, or was asked not to be sent. */
-    boolean alreadyForwarded(long event) {
-        return event >= 0 && event <= lastEventId;
+    boolean alreadyForwarded(long eventId) {
+        return eventId >= 0 && eventId <= lastEventId;
     }
 
     /** Notes that something of the answer was passed on; the event's id is negative if it has none. */
-    void forwarded(long event, long now) {
-        if (event >= 0) {
-            lastEventId = event;
+    void forwarded(long eventId, long nowMillis) {
+        if (eventId >= 0) {
+            lastEventId = eventId;
             eventsForwarded = true;
         }
         if (firstEventAtMillis < 0) {
-            firstEventAtMillis = now;
+            firstEventAtMillis = nowMillis;
         } else {
-            longestGapMillis = Math.max(longestGapMillis, now - lastEventAtMillis);
+            longestGapMillis = Math.max(longestGapMillis, nowMillis - lastEventAtMillis);
         }
-        lastEventAtMillis = now;
+        lastEventAtMillis = nowMillis;
     }
 
     /** Returns the event after which another server would have to go on; empty if the caller's own word stands. */
--- a/gateway/src/main/java/org/tanagerhinge/gateway/SequentialHttpClient.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/SequentialHttpClient.java
@@ -62,8 +62,8 @@
      * @param body the answer's body, or why the call failed
      */
     public record Response(int status, byte[] body) {
-        static Response failed(String why) {
-            return new Response(0, why.getBytes(StandardCharsets.UTF_8));
+        static Response failed(String reason) {
+            return new Response(0, reason.getBytes(StandardCharsets.UTF_8));
         }
 
         /** Returns the body as text. */
@@ -77,15 +77,15 @@
         private final String path;
         private final Map<String, String> headers;
         private final byte[] body;
-        private final Consumer<Response> done;
+        private final Consumer<Response> onResponse;
         private Future<?> timer;
 
-        Call(HttpMethod method, String path, Map<String, String> headers, byte[] body, Consumer<Response> done) {
+        Call(HttpMethod method, String path, Map<String, String> headers, byte[] body, Consumer<Response> onResponse) {
             this.method = method;
             this.path = path;
             this.headers = headers;
             this.body = body;
-            this.done = done;
+            this.onResponse = onResponse;
         }
     }
 
@@ -95,10 +95,10 @@
      *
      * @param body JSON text, or empty for none
      */
-    public void call(HttpMethod method, String path, String body, long timeoutMillis, Consumer<Response> done) {
+    public void call(HttpMethod method, String path, String body, long timeoutMillis, Consumer<Response> onResponse) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         boolean json = bytes.length > 0 || method.equals(HttpMethod.POST);
-        call(method, path, json ? JSON_HEADERS : Map.of(), bytes, timeoutMillis, done);
+        call(method, path, json ? JSON_HEADERS : Map.of(), bytes, timeoutMillis, onResponse);
     }
 
     /** Calls with headers and a body of any type; otherwise as the call with a JSON body. */
@@ -108,8 +108,8 @@
             Map<String, String> headers,
             byte[] body,
             long timeoutMillis,
-            Consumer<Response> done) {
-        Call call = new Call(method, path, headers, body, done);
+            Consumer<Response> onResponse) {
+        Call call = new Call(method, path, headers, body, onResponse);
         call.timer = loop.next().schedule(() -> timedOut(call), timeoutMillis, TimeUnit.MILLISECONDS);
         if (current == null) {
             begin(call);
@@ -122,7 +122,7 @@
         if (call == current) {
             fail("no answer in time");
         } else if (queued.remove(call)) {
-            call.done.accept(Response.failed("no answer in time"));
+            call.onResponse.accept(Response.failed("no answer in time"));
         }
     }
 
@@ -170,11 +170,11 @@
 
     /** Closes the connection; calls in progress and those that wait for their turn fail. */
     public void close() {
-        List<Call> never = List.copyOf(queued);
+        List<Call> unsent = List.copyOf(queued);
         queued.clear();
-        for (Call call : never) {
+        for (Call call : unsent) {
             call.timer.cancel(false);
-            call.done.accept(Response.failed("closed"));
+            call.onResponse.accept(Response.failed("closed"));
         }
         if (current != null) {
             fail("closed");
@@ -195,7 +195,7 @@
         channel.writeAndFlush(request);
     }
 
-    private void fail(String why) {
+    private void fail(String reason) {
         if (current == null) {
             return;
         }
@@ -203,17 +203,17 @@
             channel.close();
             channel = null;
         }
-        finish(Response.failed(why));
+        finish(Response.failed(reason));
     }
 
-    private void finish(Response answer) {
+    private void finish(Response response) {
         Call ended = current;
         current = null;
         ended.timer.cancel(false);
         if (!queued.isEmpty()) {
             begin(queued.poll());
         }
-        ended.done.accept(answer);
+        ended.onResponse.accept(response);
     }
 
     /** Takes the answers of one connection. */
--- a/gateway/src/main/java/org/tanagerhinge/gateway/StoreSynchronizer.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/StoreSynchronizer.java
@@ -76,15 +76,15 @@
 
     /** Starts to read; returns at once. */
     static StoreSynchronizer start(Gateway gateway, MetadataStore store, PeerSynchronizer peers) {
-        StoreSynchronizer feed = new StoreSynchronizer(gateway, store, peers);
-        peers.storeReachable(() -> feed.storeReachable);
-        peers.onConfigFetchFailed(feed::catchUp);
-        feed.runGuarded(feed::readConfig);
-        feed.runGuarded(feed::register);
-        feed.runGuarded(feed::readServers);
-        feed.runGuarded(feed::readQuarantine);
-        gateway.onQuarantine(feed::quarantine);
-        return feed;
+        StoreSynchronizer synchronizer = new StoreSynchronizer(gateway, store, peers);
+        peers.storeReachable(() -> synchronizer.storeReachable);
+        peers.onConfigFetchFailed(synchronizer::catchUp);
+        synchronizer.runGuarded(synchronizer::readConfig);
+        synchronizer.runGuarded(synchronizer::register);
+        synchronizer.runGuarded(synchronizer::readServers);
+        synchronizer.runGuarded(synchronizer::readQuarantine);
+        gateway.onQuarantine(synchronizer::quarantine);
+        return synchronizer;
     }
 
     private long timeoutMillis() {
@@ -100,13 +100,13 @@
     }
 
     private void pollServers() {
-        long age = gateway.nowMillis() - gateway.directory().newestListMillis();
-        boolean old = !gateway.directory().hasList() || age > STALE_LIST_MILLIS + peers.intervalMillis();
+        long ageMillis = gateway.nowMillis() - gateway.directory().newestListMillis();
+        boolean stale = !gateway.directory().hasList() || ageMillis > STALE_LIST_MILLIS + peers.intervalMillis();
         boolean reads = isReader();
-        if (old && !reads && gateway.initialized()) {
+        if (stale && !reads && gateway.initialized()) {
             catchUp();
         }
-        if (old || reads) {
+        if (stale || reads) {
             readServers();
         } else {
             schedule(this::pollServers, STANDBY_CHECK_MILLIS);
@@ -120,11 +120,11 @@
      * tell of a version and can't be asked for it.
      */
     private void catchUp() {
-        long now = gateway.nowMillis();
-        if (now < nextCatchUpMillis) {
+        long nowMillis = gateway.nowMillis();
+        if (nowMillis < nextCatchUpMillis) {
             return;
         }
-        nextCatchUpMillis = now + MIN_CATCH_UP_INTERVAL_MILLIS;
+        nextCatchUpMillis = nowMillis + MIN_CATCH_UP_INTERVAL_MILLIS;
         store.readConfig(timeoutMillis(), reply -> {
             if (reply instanceof MetadataStore.Success<MetadataStore.StoredConfig> answer) {
                 markReachable();
@@ -138,12 +138,12 @@
     }
 
     private void readServers() {
-        long asked = gateway.nowMillis();
+        long requestedAtMillis = gateway.nowMillis();
         store.listServers(timeoutMillis(), guarded(this::pollServers, reply -> {
             if (reply instanceof MetadataStore.Success<MetadataStore.ServerListing> answer) {
                 markReachable();
                 logUnreadable(answer.value().unreadable());
-                if (gateway.apply(answer.value().servers(), asked)) {
+                if (gateway.apply(answer.value().servers(), requestedAtMillis)) {
                     peers.reportNow();
                 }
                 boolean empty = gateway.directory().all().isEmpty();
@@ -157,8 +157,8 @@
 
     /** Tells of each entry that can't be read once, for as long as it stays as it is. */
     private void logUnreadable(List<MetadataStore.UnreadableEntry> entries) {
-        List<MetadataStore.UnreadableEntry> some = entries.subList(0, Math.min(MAX_UNREADABLE_LOGGED, entries.size()));
-        for (MetadataStore.UnreadableEntry entry : some) {
+        List<MetadataStore.UnreadableEntry> logged = entries.subList(0, Math.min(MAX_UNREADABLE_LOGGED, entries.size()));
+        for (MetadataStore.UnreadableEntry entry : logged) {
             if (!loggedUnreadable.contains(entry)) {
                 gateway.count("entry_unreadable");
                 LogLine.failure(LogEvent.ENTRY_UNREADABLE)
@@ -167,7 +167,7 @@
                         .write();
             }
         }
-        loggedUnreadable = some;
+        loggedUnreadable = logged;
     }
 
     private void watchConfig() {
@@ -303,19 +303,19 @@
         }
     }
 
-    private void markUnreachable(String why) {
+    private void markUnreachable(String reason) {
         gateway.count("store_call_failed");
         if (storeReachable) {
             storeReachable = false;
-            LogLine.failure(LogEvent.STORE_LOST).with(LogField.WHY, why).write();
+            LogLine.failure(LogEvent.STORE_LOST).with(LogField.WHY, reason).write();
             peers.reportNow();
         }
     }
 
     /** Returns what takes a reply of the store; if it throws, its loop goes on with a step after a pause. */
-    private <T> Consumer<MetadataStore.Reply<T>> guarded(Runnable step, Consumer<MetadataStore.Reply<T>> taker) {
+    private <T> Consumer<MetadataStore.Reply<T>> guarded(Runnable step, Consumer<MetadataStore.Reply<T>> handler) {
         return reply -> {
-            if (!gateway.runGuarded(() -> taker.accept(reply))) {
+            if (!gateway.runGuarded(() -> handler.accept(reply))) {
                 schedule(step, retryMillis());
             }
         };
--- a/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
@@ -47,8 +47,8 @@
         Quarantine quarantine = Quarantine.create();
         ServerAnnouncements words = ServerAnnouncements.create();
         for (int i = 0; i < 128; i++) {
-            for (String life : List.of("i-1@1700000000000", "i-2@1700000000000", "i-3@1700000000000")) {
-                quarantine.ended(new RequestFingerprint(i, i), life, 0);
+            for (String instanceId : List.of("i-1@1700000000000", "i-2@1700000000000", "i-3@1700000000000")) {
+                quarantine.ended(new RequestFingerprint(i, i), instanceId, 0);
             }
             words.recordLeaving("i-0123456789" + i + "@1700000000000", 0);
         }
