--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
@@ -73,7 +73,8 @@
     boolean reusable(long nowMillis, long maxIdleMillis) {
         return channel.isActive()
                 && activeListener == null
-                && nowMillis - idleSinceMillis < Math.min(maxIdleMillis, (long) (REUSABLE_IDLE_SHARE * idleTimeoutMillis));
+                && nowMillis - idleSinceMillis
+                        < Math.min(maxIdleMillis, (long) (REUSABLE_IDLE_SHARE * idleTimeoutMillis));
     }
 
     /** Sends a request whose answer goes to a listener. */
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnectionPool.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnectionPool.java
@@ -39,7 +39,11 @@
     private final Map<String, Set<BackendConnection>> all = new HashMap<>();
 
     BackendConnectionPool(
-            EventLoopGroup loop, Dialect dialect, LongSupplier clock, Consumer<String> counter, ResponseListener hearer) {
+            EventLoopGroup loop,
+            Dialect dialect,
+            LongSupplier clock,
+            Consumer<String> counter,
+            ResponseListener hearer) {
         this.loop = loop;
         this.dialect = dialect;
         this.clock = clock;
--- a/gateway/src/main/java/org/tanagerhinge/gateway/CallerConnection.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/CallerConnection.java
@@ -294,7 +294,8 @@
             releaseRequest();
             keepAlive = false;
             refuseUnread(Refusal.of(408, ResultCode.CALLER_TOO_SLOW));
-        } else if (head == null && nowMillis - idleSinceMillis > limits.idleTimeoutMillis() + limits.headerTimeoutMillis()) {
+        } else if (head == null
+                && nowMillis - idleSinceMillis > limits.idleTimeoutMillis() + limits.headerTimeoutMillis()) {
             closeGracefully();
         }
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/DutyParticipant.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/DutyParticipant.java
@@ -147,7 +147,9 @@
     private void step() {
         List<DutyPeer> otherNodes = otherNodes();
         if (peerStatuses.size() > otherNodes.size()) {
-            peerStatuses.keySet().retainAll(otherNodes.stream().map(DutyPeer::name).toList());
+            peerStatuses
+                    .keySet()
+                    .retainAll(otherNodes.stream().map(DutyPeer::name).toList());
             time.retainPeers(peerStatuses.keySet());
         }
         if (duty == null) {
@@ -195,20 +197,21 @@
             return;
         }
         byte[] body = UsageCodec.reports(List.of(report));
-        holderClient.call(HttpMethod.POST, PeerRequestHandler.USAGE_PATH, PROTOBUF, body, REPORT_TIMEOUT_MILLIS, response -> {
-            if (response.status() != 200) {
-                gateway.count("usage_not_told");
-                reporter.failed();
-                return;
-            }
-            try {
-                long fixedThrough = UsageCodec.fixedThrough(response.body());
-                reporter.acknowledged(holder.announcement().fencingToken(), report, countedUnits, fixedThrough);
-            } catch (InvalidProtocolBufferException e) {
-                LOG.log(Level.ERROR, "answer of peer " + holder.name() + ": " + e.getMessage());
-                reporter.failed();
-            }
-        });
+        holderClient.call(
+                HttpMethod.POST, PeerRequestHandler.USAGE_PATH, PROTOBUF, body, REPORT_TIMEOUT_MILLIS, response -> {
+                    if (response.status() != 200) {
+                        gateway.count("usage_not_told");
+                        reporter.failed();
+                        return;
+                    }
+                    try {
+                        long fixedThrough = UsageCodec.fixedThrough(response.body());
+                        reporter.acknowledged(holder.announcement().fencingToken(), report, countedUnits, fixedThrough);
+                    } catch (InvalidProtocolBufferException e) {
+                        LOG.log(Level.ERROR, "answer of peer " + holder.name() + ": " + e.getMessage());
+                        reporter.failed();
+                    }
+                });
     }
 
     private boolean connectTo(String address) {
@@ -263,7 +266,8 @@
         long nowMillis = gateway.nowMillis();
         drainedAtMillis = countingFinished() ? Math.min(drainedAtMillis, nowMillis) : Long.MAX_VALUE;
         boolean alone = otherNodes.stream().noneMatch(DutyPeer::alive);
-        boolean timedOut = drainedAtMillis != Long.MAX_VALUE && nowMillis - drainedAtMillis >= FINAL_REPORT_TIMEOUT_MILLIS;
+        boolean timedOut =
+                drainedAtMillis != Long.MAX_VALUE && nowMillis - drainedAtMillis >= FINAL_REPORT_TIMEOUT_MILLIS;
         settled = alone || reporter.lastReportAcknowledged() || timedOut;
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
@@ -383,7 +383,8 @@
         List<ServerInstance> untried = new ArrayList<>();
         int healthyCount = 0;
         for (ServerInstance server : open) {
-            boolean healthy = !enabled(Mechanism.EJECTION) || (server.health().usable(nowMillis) && !silent(server, nowMillis));
+            boolean healthy =
+                    !enabled(Mechanism.EJECTION) || (server.health().usable(nowMillis) && !silent(server, nowMillis));
             healthyCount += healthy ? 1 : 0;
             if (!tried.contains(server.id())) {
                 untried.add(server);
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
@@ -87,7 +87,8 @@
         PeerSynchronizer peers = PeerSynchronizer.open(gateway, loop, document -> decode(client, document));
         gateway.onSent(peers::promptSent);
         daemon.duties = options.duties()
-                .map(dutyOptions -> DutyParticipant.start(gateway, loop, peers, dutyCalls.apply(loop), dutyOptions, InstantSource.system()));
+                .map(dutyOptions -> DutyParticipant.start(
+                        gateway, loop, peers, dutyCalls.apply(loop), dutyOptions, InstantSource.system()));
         daemon.openPeerListener();
         daemon.registerGauges(peers);
         loop.next().execute(() -> StoreSynchronizer.start(gateway, client, peers));
@@ -102,7 +103,9 @@
         metrics.gauge("peers_present", "Peers heard of late", gateway::peersPresent);
         metrics.gauge("peers_age_seconds", "Age of the oldest report of a present peer", peers::oldestReportSeconds);
         duties.ifPresent(participant -> metrics.gauge(
-                "usage_coverage", "Part of the known nodes whose counts the newest window held", participant::coverage));
+                "usage_coverage",
+                "Part of the known nodes whose counts the newest window held",
+                participant::coverage));
         metrics.gauge("log_lines_dropped", "Log lines dropped since the start", LogSetup::dropped);
     }
 
@@ -137,7 +140,9 @@
                 channel.pipeline().addLast(new HttpServerCodec(limits), new CallerConnection(gateway));
             }
         };
-        callerListener = earlySocket.map(socket -> adoptSocket(socket, callers)).orElseGet(() -> listen(options.listenAddress(), callers));
+        callerListener = earlySocket
+                .map(socket -> adoptSocket(socket, callers))
+                .orElseGet(() -> listen(options.listenAddress(), callers));
         LogSetup.node(options.name());
         LogLine.of(LogEvent.STARTED)
                 .with(LogField.WHY, "listening on " + options.listenAddress())
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayOptions.java
@@ -32,7 +32,16 @@
     /** Returns these options with no budget for repeats: the plain baseline that the product is compared with. */
     public GatewayOptions withoutRetries() {
         Bounds none = new Bounds(bounds.stopTimeout(), 0, 0, bounds.retryWindow());
-        return new GatewayOptions(name, domain, listenAddress, statusAddress, metricsAddress, peerAddress, none, duties, disabledMechanisms);
+        return new GatewayOptions(
+                name,
+                domain,
+                listenAddress,
+                statusAddress,
+                metricsAddress,
+                peerAddress,
+                none,
+                duties,
+                disabledMechanisms);
     }
 
     /**
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
@@ -74,7 +74,8 @@
                         .setLongTokens(demand.longTokensPerSecond())));
         for (CachedPrefix cachedPrefix : message.cachedPrefixes()) {
             KeptParts.Builder parts = KeptParts.newBuilder().setServer(cachedPrefix.instanceId());
-            cachedPrefix.parts()
+            cachedPrefix
+                    .parts()
                     .forEach(part ->
                             parts.addParts(Part.newBuilder().setId(part.id()).setTokens(part.tokens())));
             state.addKept(parts);
@@ -119,8 +120,9 @@
                 state.getIntervalMillis(),
                 uses,
                 demands);
-        List<Quarantine.Suspicion> suspicions =
-                state.getSuspectedList().stream().map(PeerCodec::decodeSuspicion).toList();
+        List<Quarantine.Suspicion> suspicions = state.getSuspectedList().stream()
+                .map(PeerCodec::decodeSuspicion)
+                .toList();
         DutyAnnouncement duty =
                 new DutyAnnouncement(state.getTimeOfDayMillis(), state.getPower(), state.getUsageToken());
         return new PeerMessage(report, cachedPrefix, suspicions, List.copyOf(state.getLeavingList()), duty);
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerSynchronizer.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerSynchronizer.java
@@ -202,13 +202,15 @@
         PeerReport state = currentReport();
         List<Quarantine.Suspicion> unreported = gateway.quarantine().news(gateway.nowMillis());
         List<String> leaving = gateway.serverAnnouncements().nextLeavingReport();
-        byte[] bytes = PeerCodec.state(new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), unreported, leaving, dutyStatus.get()));
+        byte[] bytes = PeerCodec.state(
+                new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), unreported, leaving, dutyStatus.get()));
         byte[] fullBytes = bytes;
         int fullReportIndex = -1;
         if (!standing.isEmpty() && !addresses.isEmpty()) {
             List<Quarantine.Suspicion> all = new ArrayList<>(unreported);
             all.addAll(standing);
-            fullBytes = PeerCodec.state(new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), all, leaving, dutyStatus.get()));
+            fullBytes = PeerCodec.state(
+                    new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), all, leaving, dutyStatus.get()));
             fullReportTurn = (fullReportTurn + 1) % addresses.size();
             fullReportIndex = fullReportTurn;
         }
@@ -217,7 +219,8 @@
         reportedAtMillis = gateway.nowMillis();
         int index = 0;
         for (InetSocketAddress address : addresses) {
-            channel.write(new DatagramPacket(Unpooled.wrappedBuffer(index == fullReportIndex ? fullBytes : bytes), address));
+            channel.write(
+                    new DatagramPacket(Unpooled.wrappedBuffer(index == fullReportIndex ? fullBytes : bytes), address));
             index++;
         }
         channel.flush();
@@ -266,7 +269,8 @@
         if (report.configVersion() > gateway.configVersion()) {
             requestConfig(report);
         }
-        long age = gateway.directory().hasList() ? nowMillis - gateway.directory().newestListMillis() : Long.MAX_VALUE;
+        long age =
+                gateway.directory().hasList() ? nowMillis - gateway.directory().newestListMillis() : Long.MAX_VALUE;
         if (report.serverListAgeMillis() + MIN_AGE_GAIN_MILLIS < age) {
             if (report.serverListDigest() == gateway.directory().digest()
                     && gateway.directory().hasList()) {
@@ -281,7 +285,8 @@
      * Gives placement what one peer's report has changed. Adding up all peers' at each report would cost a node of a large
      * system the square of their number; that is done four times a second, when those that have fallen silent drop out.
      */
-    private void applyLoadChange(Map<String, PeerReport.InstanceLoad> before, Map<String, PeerReport.InstanceLoad> after) {
+    private void applyLoadChange(
+            Map<String, PeerReport.InstanceLoad> before, Map<String, PeerReport.InstanceLoad> after) {
         if (!gateway.enabled(Mechanism.PEER_LOAD)) {
             return;
         }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
@@ -83,7 +83,8 @@
     /** Takes a kept connection, or makes one, and sends the request. */
     void start() {
         gateway.requestSent(request, placed);
-        firstOutputWait = RankGate.PendingRequest.of(server.instanceId(), exchange.rank(), startedAtMillis + route.targetMillis());
+        firstOutputWait = RankGate.PendingRequest.of(
+                server.instanceId(), exchange.rank(), startedAtMillis + route.targetMillis());
         gateway.rankGate().recordSent(firstOutputWait);
         long maxIdleMillis = route.idempotent() ? Long.MAX_VALUE : MAX_IDLE_NON_IDEMPOTENT_MILLIS;
         BackendConnection pooled = gateway.pool().pollIdle(server, maxIdleMillis);
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
@@ -59,7 +59,8 @@
     private boolean executionStarted;
     private boolean finished;
 
-    private RelayExchange(Gateway gateway, CallerConnection caller, HttpRequest head, ByteBuf body, long arrivedAtMillis) {
+    private RelayExchange(
+            Gateway gateway, CallerConnection caller, HttpRequest head, ByteBuf body, long arrivedAtMillis) {
         this.gateway = gateway;
         this.caller = caller;
         this.head = head;
@@ -71,7 +72,8 @@
     }
 
     /** Returns an exchange for a request that was read whole; its body is taken over. */
-    static RelayExchange of(Gateway gateway, CallerConnection caller, HttpRequest head, ByteBuf body, long arrivedAtMillis) {
+    static RelayExchange of(
+            Gateway gateway, CallerConnection caller, HttpRequest head, ByteBuf body, long arrivedAtMillis) {
         return new RelayExchange(gateway, caller, head, body, arrivedAtMillis);
     }
 
@@ -127,7 +129,8 @@
         OptionalLong quarantinedMillis = quarantineMillis(nowMillis);
         if (quarantinedMillis.isPresent()) {
             telemetry.quarantined(fingerprint());
-            endWithoutResponse("servers end under it", Refusal.notRun(ResultCode.REQUEST_HELD, quarantinedMillis.getAsLong()));
+            endWithoutResponse(
+                    "servers end under it", Refusal.notRun(ResultCode.REQUEST_HELD, quarantinedMillis.getAsLong()));
             return;
         }
         List<ServerInstance> candidates = gateway.candidates(service, triedServers, nowMillis);
@@ -163,8 +166,8 @@
                 || !config.isLeastUrgent(workspace, route, service)) {
             return false;
         }
-        OptionalLong retryAfterMillis =
-                AdmissionControl.retryAfterMillis(route, placed.expectedWaitMillis(), remainingMillis(), gateway.randomFraction());
+        OptionalLong retryAfterMillis = AdmissionControl.retryAfterMillis(
+                route, placed.expectedWaitMillis(), remainingMillis(), gateway.randomFraction());
         retryAfterMillis.ifPresent(millis -> {
             telemetry.rejected(placed);
             refuse(Refusal.notRun(ResultCode.QUEUE_FULL, millis));
@@ -179,7 +182,8 @@
     }
 
     private void failWithoutServer() {
-        endWithoutResponse("no server to go on at", Refusal.notRun(ResultCode.NO_SERVER, gateway.retryAfterMillis(service)));
+        endWithoutResponse(
+                "no server to go on at", Refusal.notRun(ResultCode.NO_SERVER, gateway.retryAfterMillis(service)));
     }
 
     /** Ends the exchange without an answer of a server: {@code notRun} is told only if no server may have run it. */
@@ -285,7 +289,11 @@
         }
         gateway.attemptFailed(ended.server(), end);
         telemetry.attemptFailed(
-                end, reason, ended.startedAtMillis(), progress, end.broken() ? Optional.of(fingerprint()) : Optional.empty());
+                end,
+                reason,
+                ended.startedAtMillis(),
+                progress,
+                end.broken() ? Optional.of(fingerprint()) : Optional.empty());
         attempt = null;
         if (end.broken()) {
             gateway.crashDetector().connectionBroke(ended.server(), fingerprint());
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
@@ -79,7 +79,11 @@
 
     /** An attempt has failed; {@code broken} holds the request's fingerprint if its connection broke. */
     void attemptFailed(
-            AttemptEnd end, String reason, long startedAtMillis, ResponseProgress progress, Optional<RequestFingerprint> suspect) {
+            AttemptEnd end,
+            String reason,
+            long startedAtMillis,
+            ResponseProgress progress,
+            Optional<RequestFingerprint> suspect) {
         LogLine line = logLine(LogEvent.ATTEMPT_FAILED, true)
                 .with(LogField.SERVER, server)
                 .with(LogField.ATTEMPT, attempts)
@@ -103,7 +107,9 @@
 
     void abandoned() {
         gateway.count("given_up");
-        logLine(LogEvent.GIVEN_UP, true).with(LogField.MS, gateway.nowMillis() - arrivedAtMillis).write();
+        logLine(LogEvent.GIVEN_UP, true)
+                .with(LogField.MS, gateway.nowMillis() - arrivedAtMillis)
+                .write();
     }
 
     /** The request has to yield to more urgent ones at the server that was chosen for it. */
@@ -166,7 +172,11 @@
     private void recordTimes(String label, long nowMillis, ResponseProgress progress) {
         long firstEventMillis = progress.firstEventAtMillis() < 0 ? 0 : progress.firstEventAtMillis() - arrivedAtMillis;
         NodeMetrics metrics = gateway.metrics();
-        metrics.times(label, Duration.ofMillis(firstEventMillis), Duration.ZERO, Duration.ofMillis(nowMillis - arrivedAtMillis));
+        metrics.times(
+                label,
+                Duration.ofMillis(firstEventMillis),
+                Duration.ZERO,
+                Duration.ofMillis(nowMillis - arrivedAtMillis));
         metrics.longestPause(label, Duration.ofMillis(progress.longestGapMillis()));
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/SequentialHttpClient.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/SequentialHttpClient.java
@@ -37,7 +37,8 @@
     private static final int CONNECT_TIMEOUT_MILLIS = 700;
     private static final int MAX_RESPONSE_BYTES = 8 << 20;
     /** Headers of a call with a JSON body. */
-    public static final Map<String, String> JSON_HEADERS = Map.of(HttpHeaderNames.CONTENT_TYPE.toString(), "application/json");
+    public static final Map<String, String> JSON_HEADERS =
+            Map.of(HttpHeaderNames.CONTENT_TYPE.toString(), "application/json");
 
     private final EventLoopGroup loop;
     private final InetSocketAddress address;
--- a/gateway/src/main/java/org/tanagerhinge/gateway/StoreSynchronizer.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/StoreSynchronizer.java
@@ -157,7 +157,8 @@
 
     /** Tells of each entry that can't be read once, for as long as it stays as it is. */
     private void logUnreadable(List<MetadataStore.UnreadableEntry> entries) {
-        List<MetadataStore.UnreadableEntry> logged = entries.subList(0, Math.min(MAX_UNREADABLE_LOGGED, entries.size()));
+        List<MetadataStore.UnreadableEntry> logged =
+                entries.subList(0, Math.min(MAX_UNREADABLE_LOGGED, entries.size()));
         for (MetadataStore.UnreadableEntry entry : logged) {
             if (!loggedUnreadable.contains(entry)) {
                 gateway.count("entry_unreadable");
@@ -329,6 +330,7 @@
     }
 
     private void schedule(Runnable task, int millis) {
-        gateway.schedule(() -> runGuarded(task), millis + ThreadLocalRandom.current().nextInt(millis / 5 + 1));
+        gateway.schedule(
+                () -> runGuarded(task), millis + ThreadLocalRandom.current().nextInt(millis / 5 + 1));
     }
 }
--- a/gateway/src/test/java/org/tanagerhinge/gateway/PeriodicTaskRecoveryTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeriodicTaskRecoveryTest.java
@@ -138,7 +138,8 @@
 
         @Override
         public BackendResponseMetadata responseMetadata(HttpResponse response) {
-            return new BackendResponseMetadata("", false, false, Optional.empty(), Optional.empty(), false, OptionalLong.empty());
+            return new BackendResponseMetadata(
+                    "", false, false, Optional.empty(), Optional.empty(), false, OptionalLong.empty());
         }
 
         @Override
