--- a/core/src/main/java/org/tanagerhinge/core/router/AgentLinks.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/AgentLinks.java
@@ -13,10 +13,9 @@
 import org.tanagerhinge.core.message.Frame;
 
 /**
- * Which agents a router is connected to: its subset for each target, and others on demand for as long as they are used.
+ * Maintains the connections of a router to agents: a fixed subset for each target, and others on demand while in use.
  */
 final class AgentLinks {
-    /** How long an agent that was linked on demand may go unused. */
     private static final Duration ON_DEMAND_LINK_IDLE_TIMEOUT = Duration.ofMinutes(1);
 
     private final ServerTable servers;
@@ -27,11 +26,11 @@
     private ClusterConfig config = ClusterConfig.EMPTY;
 
     /**
-     * Makes the links of one router run.
+     * Creates the links of one router run.
      *
-     * @param heartbeat how often a silent link shows a sign of life
-     * @param inUse whether an exchange is with a server
-     * @param lost told of a server whose link is given up, before it is forgotten
+     * @param heartbeatInterval time without a message after which a heartbeat is sent on a link
+     * @param inUse whether an exchange is assigned to a server
+     * @param onUnlink called with a server before its link is closed and its state is removed
      */
     AgentLinks(
             ServerTable servers,
@@ -46,7 +45,7 @@
         this.onUnlink = onUnlink;
     }
 
-    /** Takes a configuration; links follow it if its server list has changed. */
+    /** Applies a configuration, and opens and closes links if its server list has changed. */
     void applyConfig(ClusterConfig next, boolean serversChanged) {
         config = next;
         if (serversChanged) {
@@ -58,7 +57,7 @@
         return servers.find(id).map(ServerView::linked).orElse(false);
     }
 
-    /** Links an agent outside the subset, if the configuration knows it. */
+    /** Opens a link to an agent outside the subset, if the configuration lists its server. */
     void linkOnDemand(ServerId id, Instant now) {
         if (servers.find(id).isEmpty()) {
             config.servers().server(id).ifPresent(server -> {
@@ -69,7 +68,7 @@
         servers.find(id).ifPresent(view -> view.lastUsedAt(now));
     }
 
-    /** Tells all linked agents which configuration this router has. */
+    /** Sends all linked agents the revision of this router's configuration. */
     void broadcastRevision() {
         Frame.Heartbeat heartbeat = new Frame.Heartbeat(config.revision());
         for (ServerView view : List.copyOf(servers.all())) {
@@ -79,7 +78,7 @@
         }
     }
 
-    /** Shows a sign of life on links that were silent, and gives up those on demand that went unused. */
+    /** Sends heartbeats that are due, and closes on-demand links that have been idle too long. */
     void tick(Instant now) {
         sendHeartbeats(now);
         closeIdleLinks(now);
--- a/core/src/main/java/org/tanagerhinge/core/router/AnswerLengthEstimator.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/AnswerLengthEstimator.java
@@ -6,10 +6,10 @@
 import org.tanagerhinge.core.id.WorkspaceId;
 
 /**
- * Guesses the length of an answer before it is there, from earlier answers of the same class and workspace.
+ * Estimates the length of an answer from earlier answers of the same profile and workspace.
  *
- * <p>Lengths are heavy-tailed, so the mean of their logarithms is followed, which gives about the median. A workspace
- * with few answers yet is guessed by its class.
+ * <p>Answer lengths are heavy-tailed, so the estimate is a moving geometric mean, which is close to the median. A
+ * workspace with too few answers gets the estimate of its profile.
  */
 final class AnswerLengthEstimator {
     private static final long INITIAL_LENGTH_UNITS = 128;
--- a/core/src/main/java/org/tanagerhinge/core/router/CrashAttribution.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/CrashAttribution.java
@@ -13,15 +13,15 @@
 import org.tanagerhinge.core.id.ServerId;
 
 /**
- * Calls under which backend servers have ended, as far as this router has seen it.
+ * Attributes crashes of backend servers to the requests that were running there, and quarantines repeat offenders.
  *
- * <p>A run that fails may be the run's fault or the server's: it counts against the call only if the server's agent says within
- * moments that the server is down.
+ * <p>A failed run counts against its request only if the server's agent reports the server down shortly afterwards;
+ * otherwise the server itself may be at fault.
  */
 final class CrashAttribution {
-    /** Time from a failed run until its agent has found that the server is down: a probe and its answer, and some slack. */
+    /** Time within which an agent detects that its server is down after a run has failed. */
     private static final Duration CRASH_DETECTION_WINDOW = Duration.ofSeconds(2);
-    /** Failed runs of one server that are in doubt at the most. */
+
     private static final int MAX_PENDING_RUNS_PER_SERVER = 128;
 
     private record FailedRun(RequestFingerprint request, Instant failedAt) {}
@@ -29,12 +29,12 @@
     private final Quarantine quarantine = Quarantine.create();
     private final Map<ServerId, Deque<FailedRun>> pendingRuns = new HashMap<>();
 
-    /** Returns whether no call is suspected. */
+    /** Returns whether no request is suspected. */
     boolean isEmpty() {
         return quarantine.empty();
     }
 
-    /** Returns for how long a call is to be sent no more; nothing if it may be sent. */
+    /** Returns for how long a request stays quarantined; empty if it may be sent. */
     Optional<Duration> quarantinedFor(RequestFingerprint request, Instant now) {
         OptionalLong remainingMillis = quarantine.heldMillis(request, now.toEpochMilli());
         return remainingMillis.isPresent()
@@ -42,7 +42,7 @@
                 : Optional.empty();
     }
 
-    /** Notes that a server has failed a run of a call. */
+    /** Records that a run of a request failed at a server. */
     void recordFailedRun(ServerId server, RequestFingerprint request, Instant now) {
         Deque<FailedRun> runs = pendingRuns.computeIfAbsent(server, _ -> new ArrayDeque<>());
         runs.addLast(new FailedRun(request, now));
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Notes that a server is down; returns how many calls are held from now on. */
+    /** Records that a server is down; returns how many requests are newly quarantined. */
     int recordServerDown(ServerId server, Instant now) {
         Deque<FailedRun> runs = pendingRuns.remove(server);
         if (runs == null) {
@@ -67,12 +67,12 @@
         return quarantinedCount;
     }
 
-    /** Notes that a server has run a call to its end. */
+    /** Records that a server completed a run of a request. */
     void recordCompletedRun(RequestFingerprint request, Instant now) {
         quarantine.served(request, now.toEpochMilli());
     }
 
-    /** Forgets what has lapsed. */
+    /** Removes expired entries. */
     void evictExpired(Instant now) {
         quarantine.trim(now.toEpochMilli());
         pendingRuns
--- a/core/src/main/java/org/tanagerhinge/core/router/Exchange.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/Exchange.java
@@ -22,7 +22,7 @@
 import org.tanagerhinge.core.message.WorkItem;
 import org.tanagerhinge.core.result.RequestFailure;
 
-/** One caller's request at a router, from its arrival to its end. */
+/** Tracks one caller's request at a router, from its arrival until it is answered or refused. */
 final class Exchange {
     private static final StateChart<ExchangeState, ExchangeEvent> CHART =
             StateChart.load("exchange", ExchangeState.class, ExchangeEvent.class);
@@ -97,12 +97,15 @@
         return profile.idempotent();
     }
 
-    /** Returns whether the caller may repeat this non-idempotent request under its own key. */
+    /** Returns whether this is a non-idempotent request that its caller may retry under an idempotency key. */
     boolean keyed() {
         return !idempotent() && request.idempotencyKey().isPresent();
     }
 
-    /** Returns the digest under which a non-idempotent request runs; one without a key gets its own. */
+    /**
+     * Returns the digest under which a non-idempotent request runs; without a caller's key it is derived from the
+     * request id.
+     */
     KeyDigest keyDigest() {
         String key = request.idempotencyKey().map(text -> "key " + text).orElseGet(() -> "request " + request.id());
         return KeyDigest.of(workspace.id(), target, key);
@@ -154,7 +157,7 @@
         return history;
     }
 
-    /** The attempt came back as not run. */
+    /** Records that the agent returned the attempt as not run. */
     void attemptNotRun(RequestFailure refusal) {
         history.ended(false);
         attemptUnresolved = false;
@@ -174,7 +177,7 @@
         return serverIncarnation;
     }
 
-    /** Notes the agent that the next attempt goes to. */
+    /** Sets the server that the next attempt is sent to. */
     void assignServer(ServerId nextServer, long incarnation) {
         server = nextServer;
         serverIncarnation = incarnation;
@@ -188,7 +191,7 @@
         waitingSince = null;
     }
 
-    /** Returns the execution under which the next attempt may run, if the request is non-idempotent. */
+    /** Returns the execution under which the next attempt may run; empty for an idempotent request. */
     Optional<Execution> execution() {
         if (idempotent()) {
             return Optional.empty();
@@ -199,7 +202,7 @@
         return Optional.of(Execution.of(keyDigest(), generation));
     }
 
-    /** Passes to the next generation of a request that has no claim. */
+    /** Advances the generation of a request that has no claim. */
     void advanceGeneration() {
         generation++;
     }
@@ -212,7 +215,7 @@
         claim = grantedClaim;
     }
 
-    /** Returns the entry of the call that holds this request's key, when it is another one. */
+    /** Returns the claim of the other request that holds this request's idempotency key, if any. */
     Optional<ClaimEntry> followedClaim() {
         return Optional.ofNullable(followedClaim);
     }
@@ -221,7 +224,7 @@
         followedClaim = entry;
     }
 
-    /** Returns the generation that the next claim has to replace. */
+    /** Returns the generation that the next claim must replace; 0 for a key not used before. */
     long expectedGeneration() {
         if (followedClaim != null) {
             return followedClaim.generation();
@@ -237,7 +240,7 @@
         claimSequence = next;
     }
 
-    /** Returns since when the exchange has been waiting for a home or an agent. */
+    /** Returns the time since which the exchange waits for a claim or an agent; sets it to the given time if unset. */
     Instant waitingSince(Instant now) {
         if (waitingSince == null) {
             waitingSince = now;
@@ -245,7 +248,7 @@
         return waitingSince;
     }
 
-    /** Returns whether the agent in doubt was asked over the connection that is up now. */
+    /** Returns whether the outcome was requested from the agent over its current connection. */
     boolean attached() {
         return attached;
     }
@@ -254,28 +257,28 @@
         attached = next;
     }
 
-    /** Counts the wait from an earlier moment, though another attempt was made since. */
+    /** Restores the start of the wait, which sending an attempt resets. */
     void restoreWaitingSince(Instant earlier) {
         waitingSince = earlier;
     }
 
-    /** The attempt failed or is out of reach for good, and may have run. */
+    /** Records that the attempt failed or was lost, and may have run. */
     void attemptMayHaveRun() {
         history.ended(true);
         attemptUnresolved = false;
     }
 
-    /** The attempt in doubt turned out not to have run. */
+    /** Records that the unresolved attempt did not run. */
     void confirmNotRun() {
         attemptUnresolved = false;
     }
 
-    /** Returns whether an attempt is out whose fate is not known. */
+    /** Returns whether the newest attempt was sent and its outcome is not known. */
     boolean attemptUnresolved() {
         return attemptUnresolved;
     }
 
-    /** Returns whether any attempt may have run, in part or whole. */
+    /** Returns whether any attempt may have run, partly or completely. */
     boolean mayHaveRun() {
         return attemptUnresolved || history.mayHaveRun() || anythingDelivered();
     }
@@ -303,12 +306,12 @@
         }
     }
 
-    /** Returns the text that the caller already has, for an engine to continue. */
+    /** Returns the text already delivered to the caller, from which another engine can resume. */
     String deliveredText() {
         return delivered.toString(StandardCharsets.UTF_8);
     }
 
-    /** Adds units that the caller took, and returns them once they are worth a message. */
+    /** Adds units that the caller consumed; returns all uncredited units once they reach the minimum, else zero. */
     long creditDue(long units, long minUnits) {
         uncreditedUnits += units;
         if (uncreditedUnits < minUnits) {
@@ -331,7 +334,7 @@
         }
     }
 
-    /** Returns whether the caller has been given any part of an answer. */
+    /** Returns whether any part of an answer was delivered to the caller. */
     boolean anythingDelivered() {
         return headSent || deliveredUnits > 0;
     }
--- a/core/src/main/java/org/tanagerhinge/core/router/ExchangeEvent.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ExchangeEvent.java
@@ -1,15 +1,15 @@
 package org.tanagerhinge.core.router;
 
-/** What moves an exchange from state to state. */
+/** Lists the events that change the state of an exchange. */
 enum ExchangeEvent {
     CLAIM,
     SUBMIT,
     START,
-    /** The agent gave the attempt back as not run. */
+    /** The agent returned the attempt as not run. */
     RETURN,
-    /** An idempotent attempt failed or is out of reach. */
+    /** An attempt of an idempotent request failed or was lost. */
     LOSE,
-    /** A non-idempotent attempt is out of reach. */
+    /** An attempt of a non-idempotent request was lost, or another request holds its key. */
     DOUBT,
     FINISH,
     REFUSE,
--- a/core/src/main/java/org/tanagerhinge/core/router/ExchangeOutcome.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ExchangeOutcome.java
@@ -8,10 +8,12 @@
 import org.tanagerhinge.core.result.RunOutcome;
 
 /**
- * How an exchange ended, for metrics and logs.
+ * Reports how an exchange ended, for metrics and logs.
  *
- * @param firstOutput time from arrival to the first output; zero if there was none
- * @param attempts how many attempts were made
+ * @param timeToFirstOutput time from arrival to the first output; zero if there was none
+ * @param totalTime time from arrival to the end
+ * @param units units delivered to the caller: tokens of a model, bytes of a plain service
+ * @param attemptCount number of attempts that were sent
  */
 public record ExchangeOutcome(
         RequestId request,
--- a/core/src/main/java/org/tanagerhinge/core/router/ExchangeRegistry.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ExchangeRegistry.java
@@ -9,7 +9,7 @@
 import org.tanagerhinge.core.id.RequestId;
 import org.tanagerhinge.core.id.ServerId;
 
-/** The exchanges in progress at a router, by request, by attempt and by claim. */
+/** Indexes the exchanges in flight at a router by request, by attempt and by claim. */
 final class ExchangeRegistry {
     private final Map<RequestId, Exchange> exchanges = new LinkedHashMap<>();
     private final Map<Long, Exchange> byAttempt = new HashMap<>();
@@ -33,29 +33,29 @@
         return exchanges.containsKey(exchange.id());
     }
 
-    /** Returns the exchanges of now, in the order of their arrival; they may be removed meanwhile. */
+    /** Returns a copy of the current exchanges, in the order of their arrival. */
     List<Exchange> all() {
         return List.copyOf(exchanges.values());
     }
 
-    /** Gives an exchange the number of a new attempt, and forgets the one before. */
+    /** Assigns an exchange a new attempt number, and drops the previous one. */
     void startAttempt(Exchange exchange, Instant now) {
         forgetAttempt(exchange);
         exchange.attemptSent(nextNumber++, now);
         byAttempt.put(exchange.attemptNumber(), exchange);
     }
 
-    /** From now on messages about the newest attempt of an exchange come late. */
+    /** Drops the newest attempt of an exchange; later messages about it are ignored. */
     void forgetAttempt(Exchange exchange) {
         byAttempt.remove(exchange.attemptNumber());
     }
 
-    /** Returns the exchange that an attempt belongs to, if it is its newest and is at that server. */
+    /** Returns the exchange whose newest attempt has this number, if it is assigned to that server. */
     Optional<Exchange> findByAttempt(long attempt, ServerId server) {
         return Optional.ofNullable(byAttempt.get(attempt)).filter(exchange -> server.equals(exchange.server()));
     }
 
-    /** Gives an exchange the number of a new claim, and forgets the one before. */
+    /** Assigns an exchange a new claim number, and drops the previous one. */
     void startClaim(Exchange exchange) {
         forgetClaim(exchange);
         exchange.claimSequence(nextNumber++);
@@ -66,7 +66,7 @@
         byClaim.remove(exchange.claimSequence());
     }
 
-    /** Returns the exchange that waits for a claim, if one does. */
+    /** Returns the exchange that waits for the decision on a claim, if any. */
     Optional<Exchange> findByClaim(long sequence) {
         return Optional.ofNullable(byClaim.get(sequence));
     }
--- a/core/src/main/java/org/tanagerhinge/core/router/ExchangeState.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ExchangeState.java
@@ -1,21 +1,21 @@
 package org.tanagerhinge.core.router;
 
-/** The states of an exchange; the chart is {@code charts/exchange.json}. */
+/** Lists the states of an exchange; the transitions are in {@code charts/exchange.json}. */
 enum ExchangeState {
-    /** No attempt is out; one is about to be made. */
+    /** No attempt is in flight; a server is being chosen. */
     CHOOSING,
-    /** The key's home was asked. */
+    /** The platform's store was requested to claim the idempotency key. */
     CLAIMING,
-    /** An agent was given an attempt. */
+    /** An attempt was sent to an agent. */
     SUBMITTED,
-    /** The attempt is at the backend server. */
+    /** The attempt is running at the backend server. */
     RUNNING,
-    /** A non-idempotent attempt is out of reach; its agent is to be asked what became of it. */
+    /** The outcome of a non-idempotent request is unknown; the agent that was sent it is to be queried. */
     UNCERTAIN,
-    /** The caller has the whole answer. */
+    /** The caller received the complete answer. */
     COMPLETE,
-    /** The caller was told why there is no answer. */
+    /** The caller was refused without any output. */
     REFUSED,
-    /** The caller was given a part of an answer and told that it was cut. */
+    /** The caller received part of an answer and the information that it is truncated. */
     CUT
 }
--- a/core/src/main/java/org/tanagerhinge/core/router/ExchangeTimeouts.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ExchangeTimeouts.java
@@ -5,7 +5,7 @@
 import org.tanagerhinge.core.result.RequestFailure;
 import org.tanagerhinge.core.result.ResultCode;
 
-/** Looks several times a second whether an exchange has waited too long. */
+/** Enforces the timeouts of exchanges: the deadline, the claim, the unresolved attempt and the stalled stream. */
 final class ExchangeTimeouts {
     private final RouterCore core;
     private final IdempotencyClaims claims;
@@ -17,7 +17,7 @@
         this.options = options;
     }
 
-    /** Ends or moves an exchange whose time is up, whose server has stalled, or whose claim is not decided. */
+    /** Refuses or retries an exchange that has exceeded one of its timeouts, and repeats pending queries. */
     void check(Exchange exchange, Instant now) {
         Duration timeLeft = exchange.timeLeft(now);
         boolean overdue = timeLeft.plus(options.deadlineGrace()).isNegative();
@@ -29,7 +29,7 @@
                             RequestFailure.notRun(
                                     ResultCode.CLAIMS_UNSETTLED,
                                     RouterCore.DEFAULT_RETRY_AFTER,
-                                    "the store did not decide in time"));
+                                    "the platform's store did not decide the claim of the idempotency key before the deadline"));
                 } else if (exchange.lastQueriedAt()
                         .plus(RouterCore.QUERY_RETRY_INTERVAL)
                         .isBefore(now)) {
@@ -42,7 +42,7 @@
                     core.cancelAttempt(exchange);
                     core.refuse(
                             exchange,
-                            RequestFailure.outcomeUnknown(ResultCode.ANSWER_TOO_LATE, "its deadline has passed"));
+                            RequestFailure.outcomeUnknown(ResultCode.ANSWER_TOO_LATE, "the answer was not complete at the deadline"));
                 } else {
                     checkStall(exchange, now);
                 }
@@ -60,7 +60,7 @@
                             exchange.followedClaim().isPresent()
                                     ? ResultCode.OUTCOME_UNKNOWN
                                     : ResultCode.CONNECTION_LOST,
-                            "its agent is out of reach"));
+                            "the agent that was sent the request did not report its outcome"));
         } else if (exchange.lastQueriedAt()
                 .plus(RouterCore.QUERY_RETRY_INTERVAL.multipliedBy(5))
                 .isBefore(now)) {
@@ -76,7 +76,7 @@
         Duration timeout = exchange.deliveredUnits() > 0 ? options.stallTimeout() : options.firstOutputTimeout();
         if (exchange.lastProgressAt().plus(timeout).isBefore(now)) {
             core.cancelAttempt(exchange);
-            core.onAttemptLost(exchange, ResultCode.STALLED, "its backend server stopped producing");
+            core.onAttemptLost(exchange, ResultCode.STALLED, "the backend server produced no output within the timeout");
         }
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/router/IdempotencyClaims.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/IdempotencyClaims.java
@@ -11,8 +11,10 @@
 import org.tanagerhinge.core.result.ResultCode;
 
 /**
- * Sees to it that a non-idempotent request with its caller's key runs once, whichever router it comes through: claims the
- * key, follows another call that holds it, and asks the agent of an attempt in doubt what became of it.
+ * Ensures that a non-idempotent request with an idempotency key runs at most once, whichever router receives it.
+ *
+ * <p>It claims the key in the platform's store, follows the other request if that already holds the key, and queries
+ * the agent of an unresolved attempt for the outcome.
  */
 final class IdempotencyClaims {
     private final RouterCore core;
@@ -37,7 +39,7 @@
         this.clock = clock;
     }
 
-    /** Asks the store for the claim under which an exchange may run; asked again, it is the same claim. */
+    /** Requests the claim under which an exchange may run; repeating the request for the same exchange is harmless. */
     void requestClaim(Exchange exchange) {
         exchange.machine().fire(ExchangeEvent.CLAIM);
         Instant waitingSince = exchange.waitingSince(now());
@@ -47,7 +49,7 @@
                     RequestFailure.notRun(
                             ResultCode.CLAIMS_UNSETTLED,
                             RouterCore.DEFAULT_RETRY_AFTER,
-                            "whether the key was used before cannot be told yet; this call ran nothing"));
+                            "the platform's store has not confirmed whether the idempotency key is in use; the request did not run"));
             return;
         }
         exchange.lastQueriedAt(now());
@@ -61,7 +63,7 @@
         port.claim(exchange.claimSequence(), wanted, exchange.expectedGeneration());
     }
 
-    /** The platform's store has decided a claim, or did not answer. */
+    /** Handles the store's decision on a claim, or the lack of one. */
     void onDecision(long sequence, ClaimDecision decision) {
         Optional<Exchange> found =
                 exchanges.findByClaim(sequence).filter(exchange -> exchange.in(ExchangeState.CLAIMING));
@@ -88,13 +90,13 @@
         }
     }
 
-    /** Another call holds the key: whatever became of it is this caller's answer too. */
+    /** Follows the request that holds the key: its outcome is also the answer to this caller. */
     private void followHolder(Exchange exchange, ClaimEntry claim) {
         exchanges.forgetClaim(exchange);
         if (!claim.bodyDigest().equals(exchange.request().bodyDigest())) {
             core.refuse(
                     exchange,
-                    RequestFailure.notRun(ResultCode.KEY_REUSED, "the key was used before with another body"));
+                    RequestFailure.notRun(ResultCode.KEY_REUSED, "the idempotency key was already used with another request body"));
             return;
         }
         port.countDecision("claim_followed");
@@ -106,7 +108,7 @@
         attach(exchange);
     }
 
-    /** Asks the agent that was given a non-idempotent request what became of it. */
+    /** Queries the agent that was sent a non-idempotent request for its outcome. */
     void attach(Exchange exchange) {
         exchange.waitingSince(now());
         exchange.lastQueriedAt(now());
--- a/core/src/main/java/org/tanagerhinge/core/router/IncomingRequest.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/IncomingRequest.java
@@ -6,7 +6,7 @@
 import org.tanagerhinge.core.message.BackendCall;
 
 /**
- * A caller's request as it came in, with nothing resolved yet.
+ * Carries a caller's request as received, before its names are resolved.
  *
  * @param keyHash hex SHA-256 of the bearer key, empty if there was none
  * @param profile the profile that the caller named, empty if none
@@ -14,7 +14,7 @@
  * @param idempotencyKey the caller's key for a request that must not run twice
  * @param bodyDigest digest of the request body
  * @param promptUnits estimated prompt size in tokens; zero for a plain service
- * @param affinity names the prompt prefix, so that requests sharing it can go to the same engine
+ * @param affinity identifies the prompt prefix, so that requests sharing it can go to the same engine; empty if none
  */
 public record IncomingRequest(
         RequestId id,
--- a/core/src/main/java/org/tanagerhinge/core/router/LoadBalancer.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/LoadBalancer.java
@@ -14,11 +14,11 @@
 import org.tanagerhinge.core.message.AgentLoad;
 
 /**
- * Chooses the agent for an attempt by the least expected time until the answer is there.
+ * Chooses the server for an attempt by the least expected time to the complete answer.
  *
- * <p>Of the candidates a few are drawn at random and the best of these is taken: were all routers to take the best of
- * all by reports of the same age, they would all pile onto one server. The engines that hold the prompt's prefix are
- * always among the drawn, with the saved prompt time taken off.
+ * <p>It compares a random sample of the candidates instead of all of them: routers that all choose the best server
+ * from equally old load reports would overload it. The preferred servers of the prompt's prefix are always compared,
+ * without the prefill time that their prefix cache saves.
  */
 final class LoadBalancer {
     private static final int SAMPLE_SIZE = 3;
@@ -43,14 +43,14 @@
         this.random = random;
     }
 
-    /** Returns the next of the candidates in turn, whatever their load. */
+    /** Returns the candidates in rotation, regardless of load. */
     Optional<ServerView> roundRobin(List<ServerView> candidates) {
         return candidates.isEmpty()
                 ? Optional.empty()
                 : Optional.of(candidates.get(Math.floorMod(nextIndex++, candidates.size())));
     }
 
-    /** Returns the candidate with the least expected time among a few. */
+    /** Returns the candidate with the least expected time in a random sample. */
     Optional<ServerView> leastExpectedTime(List<ServerView> candidates, Exchange exchange, Instant now) {
         Optional<ServerView> probe = exchange.idempotent() ? dueForProbe(candidates, now) : Optional.empty();
         if (probe.isPresent()) {
@@ -97,7 +97,7 @@
         return sample;
     }
 
-    /** Returns the expected seconds until an answer from a server is whole. */
+    /** Returns the expected time to the complete answer from a server, in seconds. */
     private double expectedSeconds(ServerView view, Exchange exchange, boolean prefixCached) {
         AgentLoad load = view.load();
         boolean service = view.server().kind() == ServerKind.SERVICE;
@@ -119,10 +119,14 @@
     }
 
     /**
-     * Ejects servers whose streams are far slower than their peers', and takes back those that recovered.
+     * Ejects servers whose streams are much slower than their peers', and returns those that have recovered.
      *
-     * <p>A straggler still accepts work and reports a load that lags, so by its load alone it looks idle; it would keep
-     * drawing requests and make each of them late. Its measured stream rate against the median gives it away.
+     * <p>A slow server can look idle by its load alone and would attract requests and delay them, so its measured
+     * stream rate is compared with the median of its peers.
+     *
+     * @param peers linked servers of the same targets
+     * @param onEject called once for each ejected server
+     * @param onReturn called once for each server that is returned to service
      */
     void updateEjections(Collection<ServerView> peers, Runnable onEject, Runnable onReturn) {
         double[] rates = peers.stream()
--- a/core/src/main/java/org/tanagerhinge/core/router/RequestResolver.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RequestResolver.java
@@ -14,17 +14,17 @@
 import org.tanagerhinge.core.result.ResultCode;
 import org.tanagerhinge.core.text.NearestName;
 
-/** Resolves what a caller named: its workspace by the key, its profile, and the model or service. */
+/** Resolves the names in a request: the workspace by its bearer key, the profile, and the model or service. */
 final class RequestResolver {
     private static final int MAX_KEY_CHARS = 256;
     private static final Duration NOT_READY_RETRY_AFTER = Duration.ofSeconds(1);
 
-    /** What a caller's request resolved to. */
+    /** Holds the result of resolving a request. */
     sealed interface Resolution {
-        /** Everything the caller named exists. */
+        /** All names in the request exist. */
         record Resolved(Workspace workspace, Profile profile, TargetName target) implements Resolution {}
 
-        /** Something does not. */
+        /** A name in the request is unknown or malformed, or this router has no configuration. */
         record Rejected(RequestFailure refusal) implements Resolution {}
     }
 
@@ -39,7 +39,7 @@
     Resolution resolve(IncomingRequest request) {
         if (!config.isComplete()) {
             return rejected(RequestFailure.notRun(
-                    ResultCode.NOT_READY, NOT_READY_RETRY_AFTER, "no configuration has been read yet"));
+                    ResultCode.NOT_READY, NOT_READY_RETRY_AFTER, "this router has not received a configuration yet"));
         }
         Workspace workspace = workspacesByKey.get(request.keyHash());
         if (workspace == null) {
@@ -60,7 +60,7 @@
         if (malformedKey.isPresent()) {
             return rejected(
                     ResultCode.BAD_IDEMPOTENCY_KEY,
-                    "Idempotency-Key: expected 1 to " + MAX_KEY_CHARS + " printable characters");
+                    "Idempotency-Key: expected 1 to " + MAX_KEY_CHARS + " printable ASCII characters");
         }
         return new Resolution.Resolved(workspace, profile.get(), TargetName.of(request.target()));
     }
@@ -89,7 +89,7 @@
                 .map(ProfileName::value)
                 .toList();
         if (profileName.isEmpty()) {
-            return "no profile named: expected X-Tanagerhinge-Profile to be one of " + known;
+            return "no profile given: expected X-Tanagerhinge-Profile to be one of " + known;
         }
         return "profile '" + profileName + "' does not exist" + NearestName.hint(profileName, known);
     }
--- a/core/src/main/java/org/tanagerhinge/core/router/RouterCore.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RouterCore.java
@@ -32,10 +32,10 @@
 import org.tanagerhinge.core.result.RunOutcome;
 
 /**
- * Decides everything a router does, on one thread.
+ * Implements the decisions of a router: admission, server choice, retries, resumption and refusal.
  *
- * <p>Every method is an event; what follows from it goes out through the {@link RouterPort}. The same code runs in the
- * daemon, in the random runs and in the benchmark.
+ * <p>It runs on one thread and does no I/O. Public methods handle events; resulting actions go out through the {@link
+ * RouterPort}.
  */
 public final class RouterCore {
     static final Duration QUERY_RETRY_INTERVAL = Duration.ofMillis(200);
@@ -45,7 +45,10 @@
     private static final long PROMPT_TOKENS_PER_UNIT = 16;
     private static final Duration EJECTION_CHECK_INTERVAL = Duration.ofMillis(300);
 
-    /** Reasons for which a request comes back not run through no load of its class; trying elsewhere costs nothing. */
+    /**
+     * Codes of a not-run return that are not caused by load of the request's class; retrying these is not charged to
+     * the retry budget.
+     */
     private static final Set<ResultCode> BUDGET_FREE_CODES =
             EnumSet.of(ResultCode.SERVER_LEAVING, ResultCode.SERVER_DOWN, ResultCode.SERVICE_ERROR);
 
@@ -92,7 +95,7 @@
                 options.retryWindow().toMillis());
     }
 
-    /** Returns the decisions of one router run. */
+    /** Creates the core of one router run. */
     public static RouterCore create(
             RouterId id,
             RouterOptions options,
@@ -119,31 +122,31 @@
         return exchanges.size();
     }
 
-    /** Returns the number of agents linked now. */
+    /** Returns the number of linked agents. */
     public int linkedAgents() {
         return (int) servers.all().stream().filter(ServerView::linked).count();
     }
 
-    /** Returns the number of servers that are left alone for being slow. */
+    /** Returns the number of servers that are ejected for being slow. */
     public int ejectedServers() {
         return (int) servers.all().stream()
                 .filter(view -> view.machine().isIn(ServerState.EJECTED))
                 .count();
     }
 
-    /** Returns whether the router was told to stop. */
+    /** Returns whether a planned stop has begun. */
     public boolean stopping() {
         return stopping;
     }
 
-    /** Returns whether the router was told to stop and has no request in progress. */
+    /** Returns whether a planned stop has begun and no request is in flight. */
     public boolean drained() {
         return stopping && exchanges.size() == 0;
     }
 
-    // ---- callers
+    // ---- events from callers
 
-    /** A caller's request has come in. */
+    /** Handles a request from a caller. */
     public void onRequest(IncomingRequest request) {
         switch (requestResolver.resolve(request)) {
             case RequestResolver.Resolution.Rejected rejected -> reject(request, rejected.refusal());
@@ -155,13 +158,13 @@
         if (stopping) {
             reject(
                     request,
-                    RequestFailure.notRun(ResultCode.ROUTER_STOPPING, DEFAULT_RETRY_AFTER, "this router is stopping"));
+                    RequestFailure.notRun(ResultCode.ROUTER_STOPPING, DEFAULT_RETRY_AFTER, "this router is shutting down"));
             return;
         }
         if (exchanges.size() >= options.maxExchanges()) {
             reject(
                     request,
-                    RequestFailure.notRun(ResultCode.QUEUE_FULL, DEFAULT_RETRY_AFTER, "this router is at its bound"));
+                    RequestFailure.notRun(ResultCode.QUEUE_FULL, DEFAULT_RETRY_AFTER, "this router is at its limit of requests in flight"));
             return;
         }
         Optional<Duration> quarantinedFor = quarantinedFor(request, resolved.workspace());
@@ -176,7 +179,7 @@
                     RequestFailure.notRun(
                             ResultCode.RATE_LIMITED,
                             limiterWait.get(),
-                            "workspace '" + resolved.workspace().id() + "' is at its limit for profile '"
+                            "workspace '" + resolved.workspace().id() + "' has reached its rate or concurrency limit for profile '"
                                     + resolved.profile().name() + "'"));
             return;
         }
@@ -197,7 +200,7 @@
         dispatch(exchange);
     }
 
-    /** Equal for the same call under another id. */
+    /** Returns the fingerprint of a request, which is equal for repeats of it under other ids. */
     private static RequestFingerprint fingerprint(IncomingRequest request, Workspace workspace) {
         String path = request.call() instanceof BackendCall.ServiceCall call ? call.method() + " " + call.path() : "";
         return RequestFingerprint.of(
@@ -212,7 +215,7 @@
         return fingerprint(exchange.request(), exchange.workspace());
     }
 
-    /** Returns for how long a call is to be sent no more; a fingerprint is only made where some call is suspected. */
+    /** Returns for how long a request stays quarantined; computes its fingerprint only if any request is suspected. */
     private Optional<Duration> quarantinedFor(IncomingRequest request, Workspace workspace) {
         return crashAttribution.isEmpty()
                 ? Optional.empty()
@@ -223,22 +226,22 @@
         return RequestFailure.notRun(ResultCode.REQUEST_HELD, wait, ResultCode.REQUEST_HELD.meaning());
     }
 
-    /** Refuses a request that never became an exchange. */
+    /** Refuses a request for which no exchange was created. */
     private void reject(IncomingRequest request, RequestFailure refusal) {
         port.countDecision("refused_" + refusal.code().label());
         port.refuse(request.id(), refusal);
     }
 
-    /** A caller has hung up. */
+    /** Handles the disconnection of a caller. */
     public void onCallerDisconnected(RequestId requestId) {
         Exchange exchange = exchanges.find(requestId);
         if (exchange != null) {
             cancelAttempt(exchange);
-            close(exchange, RequestFailure.outcomeUnknown(ResultCode.CALLER_GONE, "the caller hung up"));
+            close(exchange, RequestFailure.outcomeUnknown(ResultCode.CALLER_GONE, "the caller disconnected"));
         }
     }
 
-    /** A caller has taken units of its answer. */
+    /** Handles that a caller consumed units of its answer, and grants the agent credit for them. */
     public void onCallerConsumed(RequestId requestId, long units) {
         Exchange exchange = exchanges.find(requestId);
         if (exchange == null || exchange.server() == null) {
@@ -252,7 +255,7 @@
         }
     }
 
-    // ---- choosing an agent
+    // ---- server choice
 
     void dispatch(Exchange exchange) {
         Optional<Duration> quarantinedFor = quarantinedFor(exchange.request(), exchange.workspace());
@@ -291,7 +294,7 @@
         monitor.check(
                 Invariant.AT_MOST_ONCE,
                 exchange.idempotent() || !exchange.attemptUnresolved(),
-                () -> exchange + " is sent again although an attempt's fate is unknown");
+                () -> exchange + " is sent again while an earlier attempt is unresolved");
         ServerView view = servers.find(exchange.server()).orElseThrow();
         exchange.machine().fire(ExchangeEvent.SUBMIT);
         exchanges.startAttempt(exchange, now());
@@ -311,14 +314,14 @@
                         expectedUnits));
     }
 
-    /** The platform's store has decided a claim, or did not answer. */
+    /** Handles the store's decision on a claim, or the lack of one. */
     public void onClaimDecided(long sequence, ClaimDecision decision) {
         claims.onDecision(sequence, decision);
     }
 
     // ---- links
 
-    /** The connection to an agent is up. */
+    /** Handles that the connection to an agent is established. */
     public void onLinkUp(ServerId server, long incarnation) {
         Optional<ServerView> found = servers.find(server);
         if (found.isEmpty()) {
@@ -338,7 +341,7 @@
                 .forEach(claims::attach);
     }
 
-    /** The connection to an agent is gone. */
+    /** Handles the loss of the connection to an agent. */
     public void onLinkDown(ServerId server) {
         Optional<ServerView> found = servers.find(server).filter(ServerView::linked);
         if (found.isEmpty()) {
@@ -354,10 +357,10 @@
                 .filter(exchange -> exchange.in(ExchangeState.SUBMITTED) || exchange.in(ExchangeState.RUNNING))
                 .toList();
         affected.forEach(exchange ->
-                onAttemptLost(exchange, ResultCode.CONNECTION_LOST, "the connection to its agent was lost"));
+                onAttemptLost(exchange, ResultCode.CONNECTION_LOST, "the connection to the agent was lost before the answer was complete"));
     }
 
-    /** An attempt is out of reach and may have run. */
+    /** Handles an attempt that is unreachable and may have run. */
     void onAttemptLost(Exchange exchange, ResultCode code, String detail) {
         exchanges.forgetAttempt(exchange);
         port.attemptFailed(exchange.id(), exchange.server(), code, RunOutcome.UNKNOWN, detail);
@@ -370,7 +373,9 @@
         }
     }
 
-    /** Tries an idempotent request again, from where its answer broke off, if budget and time allow. */
+    /**
+     * Retries an idempotent request, resuming a partial answer, or refuses it if the time left or the budget forbids.
+     */
     private void retryOrRefuse(Exchange exchange, ResultCode code, String detail) {
         boolean retriesDisabled = options.policy() instanceof RouterOptions.Policy.RoundRobin;
         boolean service = exchange.request().kind() == ServerKind.SERVICE;
@@ -391,9 +396,9 @@
         }
     }
 
-    // ---- messages
+    // ---- messages from agents
 
-    /** An agent has sent a message. */
+    /** Handles a message from an agent. */
     public void onFrame(ServerId server, Frame.FromAgent frame) {
         Optional<ServerView> found = servers.find(server).filter(ServerView::linked);
         if (found.isEmpty()) {
@@ -443,7 +448,7 @@
         recordIfDown(view);
     }
 
-    /** A server that takes no work right after it failed runs has ended under them. */
+    /** Attributes recent failed runs to a crash of the server if it no longer accepts work. */
     private void recordIfDown(ServerView view) {
         if (!view.load().accepting()
                 && crashAttribution.recordServerDown(view.server().id(), now()) > 0) {
@@ -452,10 +457,10 @@
     }
 
     /**
-     * Compares each server with its peers.
+     * Updates the ejections of all groups of peers.
      *
-     * <p>Done at intervals and not at each report: a comparison reads all peers, and with hundreds of links a report each
-     * would make the cost grow with the square of their number.
+     * <p>This runs at an interval and not on each load report, because it reads all peers and its cost would grow with
+     * the square of their number.
      */
     private void updateEjections(Instant now) {
         if (!lastEjectionCheck.equals(Instant.MIN)
@@ -500,7 +505,7 @@
         }
         if (chunk.offsetUnits() != deliveredUnits) {
             port.send(exchange.server(), new Frame.Cancel(exchange.attemptNumber(), exchange.keyed()));
-            onAnswerCut(exchange, "a piece at " + chunk.offsetUnits() + " came when " + deliveredUnits + " was due");
+            onAnswerCut(exchange, "answer chunk starts at unit " + chunk.offsetUnits() + " where unit " + deliveredUnits + " was expected");
             return;
         }
         exchange.delivered(chunk.units(), chunk.data(), now());
@@ -520,7 +525,7 @@
     private void onDone(Exchange exchange, Frame.Done done) {
         onStarted(exchange);
         if (done.totalUnits() != exchange.deliveredUnits()) {
-            onAnswerCut(exchange, done.totalUnits() + " units were produced, " + exchange.deliveredUnits() + " came");
+            onAnswerCut(exchange, done.totalUnits() + " units were produced, " + exchange.deliveredUnits() + " were received");
             return;
         }
         monitor.recordHeld(Invariant.WHOLE_ANSWER);
@@ -566,19 +571,19 @@
                 .mayRepeat(newestMayHaveRun, exchange.timeLeft(now()).toMillis());
     }
 
-    /** Takes one retry from the budget of the request's class. */
+    /** Takes one retry from the budget of the request's profile, if one is left. */
     private boolean tryTakeRetry(Exchange exchange) {
         return retryBudget.take(exchange.profile().name().value(), now().toEpochMilli());
     }
 
-    /** An attempt that resumes an answer did not run, but earlier ones did. */
+    /** Marks a refusal as unknown if earlier attempts may have run although the newest did not. */
     private static RequestFailure withActualRunState(Exchange exchange, RequestFailure refusal) {
         return exchange.mayHaveRun()
                 ? new RequestFailure(refusal.code(), RunOutcome.UNKNOWN, refusal.retryAfter(), refusal.detail())
                 : refusal;
     }
 
-    /** The agent that was in doubt says that the request never began there: it may go elsewhere. */
+    /** Retries a request whose agent reports that the unresolved attempt did not run. */
     private void onConfirmedNotRun(Exchange exchange, RequestFailure refusal) {
         exchange.confirmNotRun();
         exchange.machine().fire(ExchangeEvent.SUBMIT);
@@ -603,13 +608,13 @@
         }
     }
 
-    // ---- ends
+    // ---- end of an exchange
 
     void refuse(Exchange exchange, RequestFailure refusal) {
         monitor.check(
                 Invariant.NOT_RUN_IS_TRUE,
                 refusal.outcome() != RunOutcome.NOT_RUN || provablyNotRun(exchange),
-                () -> exchange + " is reported as not run");
+                () -> exchange + " is reported as not run although an attempt may have run");
         port.refuse(exchange.id(), refusal);
         close(exchange, refusal);
     }
@@ -632,7 +637,9 @@
         port.exchangeEnded(outcome(exchange, refusal.code(), refusal.outcome()));
     }
 
-    /** Tells the agent that nobody waits; a keyed request runs on, so that a repeat of the key finds its result. */
+    /**
+     * Cancels the attempt at its agent; a keyed request keeps running, so that a retry with its key finds the result.
+     */
     void cancelAttempt(Exchange exchange) {
         boolean sent = exchange.in(ExchangeState.SUBMITTED) || exchange.in(ExchangeState.RUNNING);
         if (sent && links.isLinked(exchange.server())) {
@@ -656,9 +663,9 @@
                 exchange.attemptCount());
     }
 
-    // ---- configuration, time, stop
+    // ---- configuration, timer, shutdown
 
-    /** A configuration was offered, by the platform's service or a peer; older documents are ignored. */
+    /** Applies a configuration from the platform or a peer; documents that are not newer are ignored. */
     public void applyConfig(ClusterConfig offered) {
         ClusterConfig merged = config.merge(offered);
         ConfigRevision before = config.revision();
@@ -668,7 +675,7 @@
         monitor.check(
                 Invariant.CONFIG_FORWARD,
                 !merged.revision().isBehind(before),
-                () -> "revision went from " + before + " to " + merged.revision());
+                () -> "configuration revision went back from " + before + " to " + merged.revision());
         boolean serversChanged = merged.servers().revision() > before.servers();
         config = merged;
         requestResolver.applyConfig(config);
@@ -681,12 +688,12 @@
         return exchanges.all().stream().anyMatch(exchange -> id.equals(exchange.server()));
     }
 
-    /** Begins a planned stop: no new requests, those in progress are finished. */
+    /** Begins a planned stop: new requests are rejected, those in flight are finished. */
     public void beginStop() {
         stopping = true;
     }
 
-    /** Time has passed; called several times a second. */
+    /** Checks timeouts and does periodic work; called several times a second. */
     public void onTick() {
         Instant now = now();
         for (Exchange exchange : exchanges.all()) {
--- a/core/src/main/java/org/tanagerhinge/core/router/RouterOptions.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RouterOptions.java
@@ -5,21 +5,22 @@
 import org.tanagerhinge.core.id.FailureDomain;
 
 /**
- * The settings that bound a router.
+ * Holds the limits and timeouts of a router.
  *
- * @param linksPerTarget agents of one model or service that this router connects to at the most
- * @param retryRatio retries for each request of a class in the retry window
- * @param retrySlack retries of a class in a window besides
- * @param retryWindow window in which retries are counted
- * @param mostReturns how often a request that agents give back as not run is offered to another
- * @param claimPatience how long a keyed request waits for the platform's store
- * @param doubtPatience how long a non-idempotent request waits for the agent that had it
- * @param stallTimeout how long a stream may pause before an idempotent request is resumed elsewhere
- * @param firstOutputTimeout how long an idempotent request may run without any output before it is tried elsewhere
- * @param verdictGrace how long past the deadline an agent's word on a request is waited for
- * @param heartbeat how often a silent link shows a sign of life
- * @param mostExchanges requests in progress at the most
- * @param policy how an agent is chosen and what happens when an attempt fails
+ * @param maxLinksPerTarget maximum number of agents of one model or service that this router connects to
+ * @param retryRatio retries allowed per request of a profile in the retry window
+ * @param retrySlack retries of a profile allowed in the window in addition
+ * @param retryWindow length of the sliding window in which retries are counted
+ * @param maxNotRunRetries maximum number of times a request that agents return as not run is sent to another agent
+ * @param claimTimeout how long a keyed request waits for the platform's store
+ * @param uncertainTimeout how long a non-idempotent request waits for the outcome of an unresolved attempt
+ * @param stallTimeout maximum gap in a stream before an idempotent request is resumed at another server
+ * @param firstOutputTimeout how long an idempotent request may run without output before it is retried at another
+ *     server
+ * @param deadlineGrace how long after the deadline the router waits for the agent's result
+ * @param heartbeatInterval time without a message after which a heartbeat is sent on a link
+ * @param maxExchanges maximum number of requests in flight
+ * @param policy how a server is chosen and whether failed attempts are retried
  */
 public record RouterOptions(
         FailureDomain failureDomain,
@@ -37,12 +38,12 @@
         int maxExchanges,
         Policy policy) {
 
-    /** How an agent is chosen and what happens when an attempt fails. */
+    /** Selects how a server is chosen and whether failed attempts are retried. */
     public sealed interface Policy {
-        /** Least expected time, retries within budget, resumption. */
+        /** Least expected time; failed attempts are retried within the budget and resumed. */
         record LeastTime() implements Policy {}
 
-        /** Each agent in turn, and no second attempt: the naive version that the product is measured against. */
+        /** Round robin without retries, as a baseline for comparison. */
         record RoundRobin() implements Policy {}
     }
 
@@ -84,7 +85,7 @@
                 next);
     }
 
-    /** Returns these options with another bound of links. */
+    /** Returns these options with another maximum of links per target. */
     public RouterOptions withMaxLinksPerTarget(int next) {
         return new RouterOptions(
                 failureDomain,
@@ -103,7 +104,7 @@
                 policy);
     }
 
-    /** Returns these options with another bound of requests in progress. */
+    /** Returns these options with another maximum of requests in flight. */
     public RouterOptions withMaxExchanges(int next) {
         return new RouterOptions(
                 failureDomain,
@@ -122,7 +123,7 @@
                 policy);
     }
 
-    /** Returns how often one request may be sent: as often as the budget allows while servers may have run it. */
+    /** Returns the limits for the attempts of one request; runs are limited by the retry budget alone. */
     AttemptTerms attemptLimits(boolean idempotent) {
         return new AttemptTerms(idempotent, Integer.MAX_VALUE, maxNotRunRetries, Integer.MAX_VALUE);
     }
--- a/core/src/main/java/org/tanagerhinge/core/router/RouterPort.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RouterPort.java
@@ -10,48 +10,51 @@
 import org.tanagerhinge.core.result.ResultCode;
 import org.tanagerhinge.core.result.RunOutcome;
 
-/** What a router's decisions ask of the world. Calls return at once; nothing calls back before they return. */
+/** Carries out the actions that a router decides on. Methods must return without blocking and without calling back. */
 public interface RouterPort {
     /** Sends a message to an agent, if it is linked. */
     void send(ServerId server, Frame.FromRouter frame);
 
     /**
-     * Claims a caller's key in the platform's store; the answer comes back as {@link RouterCore#onClaimDecided}.
+     * Claims a caller's idempotency key in the platform's store; the decision is passed to {@link
+     * RouterCore#onClaimDecided}.
      *
+     * @param sequence number that identifies the claim in the decision
+     * @param claim the entry to be written
      * @param expectedGeneration the generation that the claim replaces; 0 for a key not used before
      */
     void claim(long sequence, ClaimEntry claim, long expectedGeneration);
 
-    /** Gives a claim back in the platform's store, if that answers: under it nothing ran and nothing will. */
+    /** Releases a claim in the platform's store, if reachable: nothing ran under it and nothing will. */
     void releaseClaim(ClaimEntry claim);
 
-    /** Opens a connection to an agent and keeps trying until {@link #unlink}. */
+    /** Opens a connection to an agent and reconnects until {@link #unlink}. */
     void link(BackendServer server);
 
     /** Closes the connection to an agent. */
     void unlink(ServerId server);
 
-    /** Gives the caller the status and content type of a plain service's answer. */
+    /** Delivers the status and content type of a plain service's answer to the caller. */
     void deliverHead(RequestId request, int status, String contentType);
 
-    /** Gives the caller the next piece of its answer. */
+    /** Delivers the next chunk of the answer to the caller. */
     void deliverChunk(RequestId request, long units, byte[] data);
 
-    /** Tells the caller that its answer is whole. */
+    /** Ends the caller's answer as complete. */
     void complete(RequestId request, String finishReason, long units);
 
-    /** Tells the caller why it gets no whole answer; pieces may have been given before. */
+    /** Reports to the caller why it gets no complete answer; chunks may have been delivered before. */
     void refuse(RequestId request, RequestFailure refusal);
 
-    /** Notes that a request's attempt has failed, for whoever explains it later. */
+    /** Records a failed attempt of a request for later diagnosis. */
     default void attemptFailed(RequestId request, ServerId server, ResultCode code, RunOutcome run, String detail) {}
 
-    /** Notes how an exchange ended. */
+    /** Records the outcome of an exchange. */
     void exchangeEnded(ExchangeOutcome outcome);
 
-    /** Counts a retry, recovery or other decision by its reason. */
+    /** Counts a retry, refusal or other decision by its reason. */
     void countDecision(String reason);
 
-    /** Tells that a newer configuration was applied. */
+    /** Reports that a newer configuration was applied. */
     void configApplied(ClusterConfig config);
 }
--- a/core/src/main/java/org/tanagerhinge/core/router/ServerEvent.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ServerEvent.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.core.router;
 
-/** What moves a backend server from state to state. */
+/** Lists the events that change the state of a backend server. */
 enum ServerEvent {
     LINK,
     UNLINK,
--- a/core/src/main/java/org/tanagerhinge/core/router/ServerState.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ServerState.java
@@ -1,11 +1,11 @@
 package org.tanagerhinge.core.router;
 
-/** How a router regards a backend server; the chart is {@code charts/server.json}. */
+/** Lists the states of a backend server as seen by a router; the transitions are in {@code charts/server.json}. */
 enum ServerState {
-    /** No connection to its agent. */
+    /** Its agent is not connected. */
     UNLINKED,
-    /** Takes work. */
+    /** Its agent is connected, and it may get work. */
     SERVING,
-    /** Much slower than its peers; gets a probe now and then. */
+    /** Much slower than its peers; only probe requests are sent to it. */
     EJECTED
 }
--- a/core/src/main/java/org/tanagerhinge/core/router/ServerTable.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ServerTable.java
@@ -18,11 +18,11 @@
 import org.tanagerhinge.core.id.TargetName;
 
 /**
- * The backend servers that a router knows, and which of their agents it connects to.
+ * Holds the backend servers that a router knows, and selects the agents that it connects to.
  *
- * <p>With hundreds of routers and agents all-to-all connections would cost more control traffic than a node may spend.
- * Each router connects to a bounded subset for each target, chosen by rendezvous hashing, so that it is the same after a
- * restart and moves little when the list changes.
+ * <p>Connections between all routers and all agents would cost too much control traffic. Each router connects to a
+ * bounded subset for each target, chosen by rendezvous hashing, so that the subset stays the same after a restart and
+ * changes little with the server list.
  */
 final class ServerTable {
     private final String routerName;
@@ -42,7 +42,7 @@
         return Optional.ofNullable(views.get(id));
     }
 
-    /** Puts a view in, for a server that is to be connected. */
+    /** Adds a server that is to be connected. */
     ServerView add(BackendServer server) {
         ServerView view = new ServerView(server);
         views.put(server.id(), view);
@@ -53,7 +53,7 @@
         views.remove(id);
     }
 
-    /** Returns the linked servers that take new work of a kind for a target. */
+    /** Returns the linked servers of a kind that accept new work for a target. */
     List<ServerView> accepting(ServerKind kind, TargetName target) {
         List<ServerView> accepting = new ArrayList<>();
         for (ServerView view : views.values()) {
@@ -69,7 +69,7 @@
         return accepting;
     }
 
-    /** Returns the linked servers, grouped by what they serve. */
+    /** Returns the linked servers, grouped by the targets that they serve. */
     Collection<List<ServerView>> linkedByTargets() {
         Map<Set<TargetName>, List<ServerView>> groups = new LinkedHashMap<>();
         for (ServerView view : views.values()) {
@@ -81,7 +81,7 @@
         return groups.values();
     }
 
-    /** Returns the servers that this router should be connected to under a list. */
+    /** Returns the servers of a list that this router should be connected to. */
     Set<ServerId> connectionSubset(ServersDocument servers) {
         Map<TargetName, List<ServerId>> byTarget = new TreeMap<>();
         for (BackendServer server : servers.servers()) {
--- a/core/src/main/java/org/tanagerhinge/core/router/ServerView.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ServerView.java
@@ -9,11 +9,11 @@
 import org.tanagerhinge.core.config.BackendServer;
 import org.tanagerhinge.core.message.AgentLoad;
 
-/** What a router knows of one backend server, from its agent's reports and from what it sent there since. */
+/** Tracks what a router knows of a backend server: its reported load, and the work sent there since that report. */
 final class ServerView {
     private static final StateChart<ServerState, ServerEvent> CHART =
             StateChart.load("server", ServerState.class, ServerEvent.class);
-    /** What was sent this shortly before a report cannot be in the report yet. */
+    /** Work sent this shortly before a report may be missing in it. */
     private static final Duration REPORT_LAG = Duration.ofMillis(10);
 
     private record Submission(Instant at, long cost) {}
@@ -74,7 +74,7 @@
         unreportedCost += cost;
     }
 
-    /** Forgets everything that a former connection told. */
+    /** Discards the state of the previous connection. */
     void resetConnectionState() {
         load = AgentLoad.initial();
         unreportedSubmissions.clear();
@@ -82,7 +82,7 @@
         consecutiveSlowChecks = 0;
     }
 
-    /** Returns the cost of what was sent and is in no report yet. */
+    /** Returns the cost in units of the work that is in no load report yet. */
     long unreportedCost() {
         return unreportedCost;
     }
--- a/core/src/main/java/org/tanagerhinge/core/router/WorkspaceLimiter.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/WorkspaceLimiter.java
@@ -10,7 +10,7 @@
 import org.tanagerhinge.core.id.ProfileName;
 import org.tanagerhinge.core.id.WorkspaceId;
 
-/** Holds each workspace to its profile's limits of rate and concurrency at this router. */
+/** Enforces the rate and concurrency limits of each workspace for each profile at this router. */
 final class WorkspaceLimiter {
     private record LimitKey(WorkspaceId workspace, ProfileName profile) {}
 
@@ -22,7 +22,7 @@
 
     private final Map<LimitKey, LimitState> limits = new HashMap<>();
 
-    /** Lets a request in, or returns how long the caller should wait. */
+    /** Admits a request, or returns how long the caller should wait. */
     Optional<Duration> tryAcquire(Workspace workspace, Profile profile, Instant now) {
         LimitState state = limits.computeIfAbsent(new LimitKey(workspace.id(), profile.name()), _ -> new LimitState());
         if (profile.workspaceConcurrency() > 0 && state.inFlight >= profile.workspaceConcurrency()) {
--- a/core/src/main/java/org/tanagerhinge/core/router/package-info.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The decisions of a router: which agent gets a request, what happens when an attempt fails, and what the caller is
- * told. Plain objects for one control thread; no I/O.
+ * Decides for a router which agent gets a request, what follows when an attempt fails, and what the caller receives.
+ *
+ * <p>Plain objects for one control thread; no I/O.
  */
 package org.tanagerhinge.core.router;
--- a/core/src/test/java/org/tanagerhinge/core/router/CrashAttributionTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/router/CrashAttributionTest.java
@@ -8,7 +8,7 @@
 import org.tanagerhinge.core.attempt.RequestFingerprint;
 import org.tanagerhinge.core.id.ServerId;
 
-/** Which failed runs count against a call. */
+/** Guards against quarantining a request for failures that are not server crashes, and against missing real ones. */
 class CrashAttributionTest {
     private static final Instant START = Instant.ofEpochSecond(1_000);
 
@@ -35,7 +35,7 @@
         assertTrue(attribution.quarantinedFor(request, START.plusSeconds(3)).isPresent());
     }
 
-    /** A server that fails runs and stays up is another matter: its failures are bounded by the retries' budget. */
+    /** The retry budget bounds failures of servers that stay up. */
     @Test
     void ignoresFailedRunsOfServersThatStayUp() {
         for (int i = 0; i < 9; i++) {
