--- a/core/src/main/java/org/tanagerhinge/core/router/AgentLinks.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/AgentLinks.java
@@ -28,7 +28,7 @@
     /**
      * Creates the links of one router run.
      *
-     * @param heartbeatInterval time without a message after which a heartbeat is sent on a link
+     * @param heartbeatInterval interval at which a heartbeat is sent on each link
      * @param inUse whether an exchange is assigned to a server
      * @param onUnlink called with a server before its link is closed and its state is removed
      */
@@ -89,10 +89,10 @@
         for (ServerView view : List.copyOf(servers.all())) {
             ServerId id = view.server().id();
             Optional<BackendServer> listed = config.servers().server(id);
-            boolean addressChanged = listed.isEmpty()
+            boolean removedOrMoved = listed.isEmpty()
                     || !listed.get().agentAddress().equals(view.server().agentAddress());
             listed.ifPresent(view::server);
-            if (addressChanged || (!subset.contains(id) && !inUse.test(id))) {
+            if (removedOrMoved || (!subset.contains(id) && !inUse.test(id))) {
                 unlink(id);
             }
         }
--- a/core/src/main/java/org/tanagerhinge/core/router/LoadBalancer.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/LoadBalancer.java
@@ -43,7 +43,7 @@
         this.random = random;
     }
 
-    /** Returns the candidates in rotation, regardless of load. */
+    /** Returns the next candidate in rotation, regardless of load. */
     Optional<ServerView> roundRobin(List<ServerView> candidates) {
         return candidates.isEmpty()
                 ? Optional.empty()
--- a/core/src/main/java/org/tanagerhinge/core/router/RouterOptions.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RouterOptions.java
@@ -18,7 +18,7 @@
  * @param firstOutputTimeout how long an idempotent request may run without output before it is retried at another
  *     server
  * @param deadlineGrace how long after the deadline the router waits for the agent's result
- * @param heartbeatInterval time without a message after which a heartbeat is sent on a link
+ * @param heartbeatInterval interval at which a heartbeat is sent on each link
  * @param maxExchanges maximum number of requests in flight
  * @param policy how a server is chosen and whether failed attempts are retried
  */
