--- a/core/src/main/java/org/tanagerhinge/core/router/Exchange.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/Exchange.java
@@ -54,7 +54,7 @@
     private boolean attached;
     private Instant firstOutputAt;
     private Instant lastProgressAt;
-    private RequestFailure lastRefusal;
+    private RequestFailure lastFailure;
 
     Exchange(
             IncomingRequest request,
@@ -158,15 +158,15 @@
     }
 
     /** Records that the agent returned the attempt as not run. */
-    void attemptNotRun(RequestFailure refusal) {
+    void attemptNotRun(RequestFailure failure) {
         history.ended(false);
         attemptUnresolved = false;
         triedServers.add(server);
-        lastRefusal = refusal;
+        lastFailure = failure;
     }
 
-    Optional<RequestFailure> lastRefusal() {
-        return Optional.ofNullable(lastRefusal);
+    Optional<RequestFailure> lastFailure() {
+        return Optional.ofNullable(lastFailure);
     }
 
     ServerId server() {
--- a/core/src/main/java/org/tanagerhinge/core/router/ExchangeOutcome.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ExchangeOutcome.java
@@ -20,7 +20,7 @@
         WorkspaceId workspace,
         ProfileName profile,
         ResultCode code,
-        RunOutcome runState,
+        RunOutcome runOutcome,
         Duration timeToFirstOutput,
         Duration totalTime,
         long units,
--- a/core/src/main/java/org/tanagerhinge/core/router/ExchangeTimeouts.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ExchangeTimeouts.java
@@ -42,7 +42,8 @@
                     core.cancelAttempt(exchange);
                     core.refuse(
                             exchange,
-                            RequestFailure.outcomeUnknown(ResultCode.ANSWER_TOO_LATE, "the answer was not complete at the deadline"));
+                            RequestFailure.outcomeUnknown(
+                                    ResultCode.ANSWER_TOO_LATE, "the answer was not complete at the deadline"));
                 } else {
                     checkStall(exchange, now);
                 }
@@ -76,7 +77,8 @@
         Duration timeout = exchange.deliveredUnits() > 0 ? options.stallTimeout() : options.firstOutputTimeout();
         if (exchange.lastProgressAt().plus(timeout).isBefore(now)) {
             core.cancelAttempt(exchange);
-            core.onAttemptLost(exchange, ResultCode.STALLED, "the backend server produced no output within the timeout");
+            core.onAttemptLost(
+                    exchange, ResultCode.STALLED, "the backend server produced no output within the timeout");
         }
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/router/IdempotencyClaims.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/IdempotencyClaims.java
@@ -96,7 +96,8 @@
         if (!claim.bodyDigest().equals(exchange.request().bodyDigest())) {
             core.refuse(
                     exchange,
-                    RequestFailure.notRun(ResultCode.KEY_REUSED, "the idempotency key was already used with another request body"));
+                    RequestFailure.notRun(
+                            ResultCode.KEY_REUSED, "the idempotency key was already used with another request body"));
             return;
         }
         port.countDecision("claim_followed");
--- a/core/src/main/java/org/tanagerhinge/core/router/LoadBalancer.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/LoadBalancer.java
@@ -98,7 +98,7 @@
     }
 
     /** Returns the expected time to the complete answer from a server, in seconds. */
-    private double expectedSeconds(ServerView view, Exchange exchange, boolean prefixCached) {
+    private double expectedSeconds(ServerView view, Exchange exchange, boolean prefixLikelyCached) {
         AgentLoad load = view.load();
         boolean service = view.server().kind() == ServerKind.SERVICE;
         double unitsPerSecond = load.unitsPerSecond() > 0
@@ -107,15 +107,19 @@
         double streamUnitsPerSecond =
                 load.streamUnitsPerSecond() > 0 ? load.streamUnitsPerSecond() : DEFAULT_STREAM_UNITS_PER_SECOND;
         double queuedUnits = load.queuedUnitsAhead(exchange.profile().tier()) + view.unreportedCost();
-        boolean full = load.inFlight() + view.unreportedCount() >= load.concurrencyLimit();
-        double slotWaitSeconds = full ? load.runningUnits() / unitsPerSecond / Math.max(1, load.inFlight()) : 0;
-        double queueSeconds = (full ? queuedUnits / unitsPerSecond : 0) + slotWaitSeconds;
+        boolean atLimit = load.inFlight() + view.unreportedCount() >= load.concurrencyLimit();
+        double slotWaitSeconds = atLimit ? load.runningUnits() / unitsPerSecond / Math.max(1, load.inFlight()) : 0;
+        double queueSeconds = (atLimit ? queuedUnits / unitsPerSecond : 0) + slotWaitSeconds;
         double contentionSeconds = CONTENTION_WEIGHT * (load.runningUnits() + queuedUnits) / unitsPerSecond;
         double prefillSeconds =
                 service ? 0 : (double) exchange.request().promptUnits() / PROMPT_TOKENS_PER_UNIT / streamUnitsPerSecond;
         double runSeconds = exchange.expectedUnits() / streamUnitsPerSecond;
         double domainSeconds = view.server().failureDomain().equals(ownDomain) ? 0 : CROSS_DOMAIN_PENALTY_SECONDS;
-        return queueSeconds + contentionSeconds + runSeconds + domainSeconds + (prefixCached ? 0 : prefillSeconds);
+        return queueSeconds
+                + contentionSeconds
+                + runSeconds
+                + domainSeconds
+                + (prefixLikelyCached ? 0 : prefillSeconds);
     }
 
     /**
@@ -131,7 +135,7 @@
     void updateEjections(Collection<ServerView> peers, Runnable onEject, Runnable onReturn) {
         double[] rates = peers.stream()
                 .mapToDouble(view -> view.load().streamUnitsPerSecond())
-                .filter(rate -> rate > 0)
+                .filter(streamRate -> streamRate > 0)
                 .sorted()
                 .toArray();
         if (rates.length < MIN_PEERS) {
@@ -142,12 +146,12 @@
                 .filter(view -> view.machine().isIn(ServerState.EJECTED))
                 .count();
         for (ServerView view : peers) {
-            double rate = view.load().streamUnitsPerSecond();
-            if (rate <= 0) {
+            double streamRate = view.load().streamUnitsPerSecond();
+            if (streamRate <= 0) {
                 continue;
             }
             if (view.machine().isIn(ServerState.EJECTED)) {
-                if (rate >= RETURN_ABOVE_MEDIAN_RATIO * medianRate) {
+                if (streamRate >= RETURN_ABOVE_MEDIAN_RATIO * medianRate) {
                     view.machine().fire(ServerEvent.RETURN);
                     view.consecutiveSlowChecks(0);
                     ejected--;
@@ -156,7 +160,7 @@
                 continue;
             }
             view.consecutiveSlowChecks(
-                    rate < EJECT_BELOW_MEDIAN_RATIO * medianRate ? view.consecutiveSlowChecks() + 1 : 0);
+                    streamRate < EJECT_BELOW_MEDIAN_RATIO * medianRate ? view.consecutiveSlowChecks() + 1 : 0);
             if (view.consecutiveSlowChecks() >= EJECT_AFTER_SLOW_CHECKS && ejected < rates.length / MIN_PEERS) {
                 view.machine().fire(ServerEvent.EJECT);
                 ejected++;
--- a/core/src/main/java/org/tanagerhinge/core/router/RequestResolver.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RequestResolver.java
@@ -25,7 +25,7 @@
         record Resolved(Workspace workspace, Profile profile, TargetName target) implements Resolution {}
 
         /** A name in the request is unknown or malformed, or this router has no configuration. */
-        record Rejected(RequestFailure refusal) implements Resolution {}
+        record Rejected(RequestFailure failure) implements Resolution {}
     }
 
     private ClusterConfig config = ClusterConfig.EMPTY;
@@ -104,7 +104,7 @@
         return rejected(RequestFailure.notRun(code, detail));
     }
 
-    private static Resolution rejected(RequestFailure refusal) {
-        return new Resolution.Rejected(refusal);
+    private static Resolution rejected(RequestFailure failure) {
+        return new Resolution.Rejected(failure);
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/router/RouterCore.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RouterCore.java
@@ -149,7 +149,7 @@
     /** Handles a request from a caller. */
     public void onRequest(IncomingRequest request) {
         switch (requestResolver.resolve(request)) {
-            case RequestResolver.Resolution.Rejected rejected -> reject(request, rejected.refusal());
+            case RequestResolver.Resolution.Rejected rejected -> reject(request, rejected.failure());
             case RequestResolver.Resolution.Resolved resolved -> admit(request, resolved);
         }
     }
@@ -158,18 +158,22 @@
         if (stopping) {
             reject(
                     request,
-                    RequestFailure.notRun(ResultCode.ROUTER_STOPPING, DEFAULT_RETRY_AFTER, "this router is shutting down"));
+                    RequestFailure.notRun(
+                            ResultCode.ROUTER_STOPPING, DEFAULT_RETRY_AFTER, "this router is shutting down"));
             return;
         }
         if (exchanges.size() >= options.maxExchanges()) {
             reject(
                     request,
-                    RequestFailure.notRun(ResultCode.QUEUE_FULL, DEFAULT_RETRY_AFTER, "this router is at its limit of requests in flight"));
+                    RequestFailure.notRun(
+                            ResultCode.QUEUE_FULL,
+                            DEFAULT_RETRY_AFTER,
+                            "this router is at its limit of requests in flight"));
             return;
         }
         Optional<Duration> quarantinedFor = quarantinedFor(request, resolved.workspace());
         if (quarantinedFor.isPresent()) {
-            reject(request, quarantineRefusal(quarantinedFor.get()));
+            reject(request, quarantineFailure(quarantinedFor.get()));
             return;
         }
         Optional<Duration> limiterWait = workspaceLimiter.tryAcquire(resolved.workspace(), resolved.profile(), now());
@@ -179,7 +183,8 @@
                     RequestFailure.notRun(
                             ResultCode.RATE_LIMITED,
                             limiterWait.get(),
-                            "workspace '" + resolved.workspace().id() + "' has reached its rate or concurrency limit for profile '"
+                            "workspace '" + resolved.workspace().id()
+                                    + "' has reached its rate or concurrency limit for profile '"
                                     + resolved.profile().name() + "'"));
             return;
         }
@@ -222,14 +227,14 @@
                 : crashAttribution.quarantinedFor(fingerprint(request, workspace), now());
     }
 
-    private static RequestFailure quarantineRefusal(Duration wait) {
+    private static RequestFailure quarantineFailure(Duration wait) {
         return RequestFailure.notRun(ResultCode.REQUEST_HELD, wait, ResultCode.REQUEST_HELD.meaning());
     }
 
     /** Refuses a request for which no exchange was created. */
-    private void reject(IncomingRequest request, RequestFailure refusal) {
-        port.countDecision("refused_" + refusal.code().label());
-        port.refuse(request.id(), refusal);
+    private void reject(IncomingRequest request, RequestFailure failure) {
+        port.countDecision("refused_" + failure.code().label());
+        port.refuse(request.id(), failure);
     }
 
     /** Handles the disconnection of a caller. */
@@ -260,7 +265,7 @@
     void dispatch(Exchange exchange) {
         Optional<Duration> quarantinedFor = quarantinedFor(exchange.request(), exchange.workspace());
         if (quarantinedFor.isPresent()) {
-            refuse(exchange, withActualRunState(exchange, quarantineRefusal(quarantinedFor.get())));
+            refuse(exchange, withActualOutcome(exchange, quarantineFailure(quarantinedFor.get())));
             return;
         }
         List<ServerView> candidates = servers.accepting(exchange.request().kind(), exchange.target()).stream()
@@ -271,7 +276,7 @@
             case RouterOptions.Policy.RoundRobin any -> loadBalancer.roundRobin(candidates);
         };
         if (chosen.isEmpty()) {
-            refuse(exchange, withActualRunState(exchange, exchange.lastRefusal().orElseGet(() -> noServer(exchange))));
+            refuse(exchange, withActualOutcome(exchange, exchange.lastFailure().orElseGet(() -> noServer(exchange))));
             return;
         }
         exchange.assignServer(chosen.get().server().id(), chosen.get().incarnation());
@@ -356,8 +361,10 @@
                 .filter(exchange -> server.equals(exchange.server()))
                 .filter(exchange -> exchange.in(ExchangeState.SUBMITTED) || exchange.in(ExchangeState.RUNNING))
                 .toList();
-        affected.forEach(exchange ->
-                onAttemptLost(exchange, ResultCode.CONNECTION_LOST, "the connection to the agent was lost before the answer was complete"));
+        affected.forEach(exchange -> onAttemptLost(
+                exchange,
+                ResultCode.CONNECTION_LOST,
+                "the connection to the agent was lost before the answer was complete"));
     }
 
     /** Handles an attempt that is unreachable and may have run. */
@@ -505,7 +512,10 @@
         }
         if (chunk.offsetUnits() != deliveredUnits) {
             port.send(exchange.server(), new Frame.Cancel(exchange.attemptNumber(), exchange.keyed()));
-            onAnswerCut(exchange, "answer chunk starts at unit " + chunk.offsetUnits() + " where unit " + deliveredUnits + " was expected");
+            onAnswerCut(
+                    exchange,
+                    "answer chunk starts at unit " + chunk.offsetUnits() + " where unit " + deliveredUnits
+                            + " was expected");
             return;
         }
         exchange.delivered(chunk.units(), chunk.data(), now());
@@ -525,7 +535,9 @@
     private void onDone(Exchange exchange, Frame.Done done) {
         onStarted(exchange);
         if (done.totalUnits() != exchange.deliveredUnits()) {
-            onAnswerCut(exchange, done.totalUnits() + " units were produced, " + exchange.deliveredUnits() + " were received");
+            onAnswerCut(
+                    exchange,
+                    done.totalUnits() + " units were produced, " + exchange.deliveredUnits() + " were received");
             return;
         }
         monitor.recordHeld(Invariant.WHOLE_ANSWER);
@@ -544,22 +556,22 @@
 
     private void onNotRun(Exchange exchange, Frame.NotRun notRun) {
         exchanges.forgetAttempt(exchange);
-        RequestFailure refusal = RequestFailure.notRun(
+        RequestFailure failure = RequestFailure.notRun(
                 notRun.code(), notRun.retryAfter(), notRun.code().meaning());
-        port.attemptFailed(exchange.id(), exchange.server(), notRun.code(), RunOutcome.NOT_RUN, refusal.detail());
+        port.attemptFailed(exchange.id(), exchange.server(), notRun.code(), RunOutcome.NOT_RUN, failure.detail());
         if (exchange.in(ExchangeState.UNCERTAIN)) {
-            onConfirmedNotRun(exchange, refusal);
+            onConfirmedNotRun(exchange, failure);
             return;
         }
         boolean costsBudget = !BUDGET_FREE_CODES.contains(notRun.code());
-        exchange.attemptNotRun(refusal);
+        exchange.attemptNotRun(failure);
         exchange.machine().fire(ExchangeEvent.RETURN);
         boolean retriesDisabled = options.policy() instanceof RouterOptions.Policy.RoundRobin;
         if (retriesDisabled || !mayRetry(exchange, false)) {
-            refuse(exchange, withActualRunState(exchange, refusal));
+            refuse(exchange, withActualOutcome(exchange, failure));
         } else if (costsBudget && !tryTakeRetry(exchange)) {
             port.countDecision("retry_refused_" + ResultCode.RETRY_BUDGET_SPENT.label());
-            refuse(exchange, withActualRunState(exchange, refusal));
+            refuse(exchange, withActualOutcome(exchange, failure));
         } else {
             port.countDecision("retry_" + notRun.code().label());
             dispatch(exchange);
@@ -576,20 +588,20 @@
         return retryBudget.take(exchange.profile().name().value(), now().toEpochMilli());
     }
 
-    /** Marks a refusal as unknown if earlier attempts may have run although the newest did not. */
-    private static RequestFailure withActualRunState(Exchange exchange, RequestFailure refusal) {
+    /** Returns a failure with an unknown outcome if any attempt may have run, although the newest did not. */
+    private static RequestFailure withActualOutcome(Exchange exchange, RequestFailure failure) {
         return exchange.mayHaveRun()
-                ? new RequestFailure(refusal.code(), RunOutcome.UNKNOWN, refusal.retryAfter(), refusal.detail())
-                : refusal;
+                ? new RequestFailure(failure.code(), RunOutcome.UNKNOWN, failure.retryAfter(), failure.detail())
+                : failure;
     }
 
     /** Retries a request whose agent reports that the unresolved attempt did not run. */
-    private void onConfirmedNotRun(Exchange exchange, RequestFailure refusal) {
+    private void onConfirmedNotRun(Exchange exchange, RequestFailure failure) {
         exchange.confirmNotRun();
         exchange.machine().fire(ExchangeEvent.SUBMIT);
         exchange.machine().fire(ExchangeEvent.RETURN);
         if (!mayRetry(exchange, false)) {
-            refuse(exchange, refusal);
+            refuse(exchange, failure);
         } else {
             port.countDecision("retry_settled_not_run");
             dispatch(exchange);
@@ -610,13 +622,13 @@
 
     // ---- end of an exchange
 
-    void refuse(Exchange exchange, RequestFailure refusal) {
+    void refuse(Exchange exchange, RequestFailure failure) {
         monitor.check(
                 Invariant.NOT_RUN_IS_TRUE,
-                refusal.outcome() != RunOutcome.NOT_RUN || provablyNotRun(exchange),
+                failure.outcome() != RunOutcome.NOT_RUN || provablyNotRun(exchange),
                 () -> exchange + " is reported as not run although an attempt may have run");
-        port.refuse(exchange.id(), refusal);
-        close(exchange, refusal);
+        port.refuse(exchange.id(), failure);
+        close(exchange, failure);
     }
 
     private static boolean provablyNotRun(Exchange exchange) {
@@ -624,17 +636,17 @@
         return noAttemptSent && !exchange.mayHaveRun();
     }
 
-    private void close(Exchange exchange, RequestFailure refusal) {
+    private void close(Exchange exchange, RequestFailure failure) {
         exchanges.remove(exchange);
         workspaceLimiter.release(exchange.workspace(), exchange.profile());
         if (!exchange.anythingDelivered() || !exchange.machine().tryFire(ExchangeEvent.CUT)) {
             exchange.machine().fire(ExchangeEvent.REFUSE);
         }
-        if (refusal.outcome() == RunOutcome.NOT_RUN) {
+        if (failure.outcome() == RunOutcome.NOT_RUN) {
             exchange.claim().ifPresent(port::releaseClaim);
         }
-        port.countDecision("refused_" + refusal.code().label());
-        port.exchangeEnded(outcome(exchange, refusal.code(), refusal.outcome()));
+        port.countDecision("refused_" + failure.code().label());
+        port.exchangeEnded(outcome(exchange, failure.code(), failure.outcome()));
     }
 
     /**
@@ -647,7 +659,7 @@
         }
     }
 
-    private ExchangeOutcome outcome(Exchange exchange, ResultCode code, RunOutcome runState) {
+    private ExchangeOutcome outcome(Exchange exchange, ResultCode code, RunOutcome runOutcome) {
         Duration timeToFirstOutput = exchange.firstOutputAt()
                 .map(at -> Duration.between(exchange.arrivedAt(), at))
                 .orElse(Duration.ZERO);
@@ -656,7 +668,7 @@
                 exchange.workspace().id(),
                 exchange.profile().name(),
                 code,
-                runState,
+                runOutcome,
                 timeToFirstOutput,
                 Duration.between(exchange.arrivedAt(), now()),
                 exchange.deliveredUnits(),
--- a/core/src/main/java/org/tanagerhinge/core/router/RouterPort.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RouterPort.java
@@ -44,7 +44,7 @@
     void complete(RequestId request, String finishReason, long units);
 
     /** Reports to the caller why it gets no complete answer; chunks may have been delivered before. */
-    void refuse(RequestId request, RequestFailure refusal);
+    void refuse(RequestId request, RequestFailure failure);
 
     /** Records a failed attempt of a request for later diagnosis. */
     default void attemptFailed(RequestId request, ServerId server, ResultCode code, RunOutcome run, String detail) {}
--- a/node/src/main/java/org/tanagerhinge/node/daemon/RequestLog.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/RequestLog.java
@@ -43,7 +43,7 @@
                 .with(LogField.PROFILE, outcome.profile().value())
                 .with(LogField.STATUS, outcome.code().httpStatus())
                 .with(LogField.CODE, outcome.code().number())
-                .with(LogField.RUN, outcome.runState().label())
+                .with(LogField.RUN, outcome.runOutcome().label())
                 .with(LogField.UNITS, outcome.units())
                 .with(LogField.ATTEMPT, outcome.attemptCount())
                 .with(LogField.MS, outcome.totalTime().toMillis())
