--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimRouter.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimRouter.java
@@ -252,7 +252,8 @@
 
     @Override
     public void exchangeEnded(ExchangeOutcome outcome) {
-        sim.timeline.log(() -> name + " ended " + outcome.request() + " " + outcome.code() + " " + outcome.runOutcome());
+        sim.timeline.log(
+                () -> name + " ended " + outcome.request() + " " + outcome.code() + " " + outcome.runOutcome());
     }
 
     @Override
