--- a/core/src/main/java/org/tanagerhinge/core/relay/PromptAwarePlacement.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PromptAwarePlacement.java
@@ -46,10 +46,10 @@
     private final Set<Mechanism> disabled;
     private final PrefixCacheTracker prefixCaches = PrefixCacheTracker.create();
     private final Map<String, DemandEstimator> demandByService = new HashMap<>();
-    private Map<String, LaneDemand> peers = Map.of();
+    private Map<String, LaneDemand> peerDemands = Map.of();
     private final PrefillOrder prefillOrder = PrefillOrder.create();
     private final PrefillRateEstimator prefillRate = PrefillRateEstimator.create(INITIAL_TOKENS_PER_MILLI);
-    private long tightestPause = DEFAULT_MIN_GAP_MILLIS;
+    private long minEventGapMillis = DEFAULT_MIN_GAP_MILLIS;
     private double meanLongPrefillTokens = INITIAL_MEAN_LONG_PREFILL_TOKENS;
     private int rotation;
 
@@ -69,12 +69,12 @@
 
     @Override
     public void updateMinEventGap(long minGapMillis) {
-        tightestPause = minGapMillis > 0 ? minGapMillis : DEFAULT_MIN_GAP_MILLIS;
+        minEventGapMillis = minGapMillis > 0 ? minGapMillis : DEFAULT_MIN_GAP_MILLIS;
     }
 
     /** Returns whether so many tokens are a long prompt: reading them makes the streams beside it pause. */
     private boolean isLongPrompt(int tokens) {
-        return tokens > LONG_PROMPT_GAP_SHARE * tightestPause * prefillRate.tokensPerMilli();
+        return tokens > LONG_PROMPT_GAP_SHARE * minEventGapMillis * prefillRate.tokensPerMilli();
     }
 
     private DemandEstimator demandEstimator(String service, long nowMillis) {
@@ -83,7 +83,7 @@
 
     @Override
     public void updatePeerDemands(Map<String, LaneDemand> demands) {
-        peers = Map.copyOf(demands);
+        peerDemands = Map.copyOf(demands);
     }
 
     @Override
@@ -288,7 +288,7 @@
         String service = request.service().name();
         LaneDemand demand = demandEstimator(service, nowMillis)
                 .demand(nowMillis)
-                .plus(peers.getOrDefault(service, LaneDemand.NONE));
+                .plus(peerDemands.getOrDefault(service, LaneDemand.NONE));
         double shortPrefillMillis =
                 Math.max(1, demandEstimator(service, nowMillis).meanShortPromptTokens() / prefillRate.tokensPerMilli());
         int shortLaneSize = LaneSizing.shortLaneSize(
@@ -296,7 +296,7 @@
                 request.service().slots(),
                 demand,
                 prefillRate.tokensPerMilli(),
-                LaneSizing.shortPrefillShare(tightestPause, shortPrefillMillis),
+                LaneSizing.shortPrefillShare(minEventGapMillis, shortPrefillMillis),
                 !disabled.contains(Mechanism.URGENT_LANE)
                         && demandEstimator(service, nowMillis).isShortMoreUrgent());
         if (shortLaneSize >= candidates.size()) {
--- a/core/src/test/java/org/tanagerhinge/core/relay/AdmissionControlTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/AdmissionControlTest.java
@@ -50,28 +50,33 @@
         "1400,  7000, false",
         "1500,  7000, true",
     })
-    void whatCantBeInTimeIsTurnedAway(double wait, long left, boolean expected) {
+    void rejectsRequestsThatCannotStartInTime(double expectedWaitMillis, long timeLeftMillis, boolean rejected) {
         assertEquals(
-                expected,
-                AdmissionControl.retryAfterMillis(route("r", 1_200, 2), wait, left, 0.5)
+                rejected,
+                AdmissionControl.retryAfterMillis(route("r", 1_200, 2), expectedWaitMillis, timeLeftMillis, 0.5)
                         .isPresent());
     }
 
     @Test
-    void aRouteWithoutATargetTurnsNobodyAway() {
+    void acceptsAllRequestsOfARouteWithoutTarget() {
         assertEquals(OptionalLong.empty(), AdmissionControl.retryAfterMillis(route("r", 0, 2), 60_000, 8_000, 0.5));
     }
 
     /** Load: a burst is turned away in one moment; were all told the same time, they would be the next burst. */
     @ParameterizedTest
     @CsvSource({"1000, 8000", "3000, 8000", "20000, 8000", "20000, 900", "20000, 1"})
-    void callersComeBackSpreadWhenThereMayBeRoomAndWithinAThirdOfTheirTime(double wait, long left) {
+    void spreadsRetryAfterWithinAThirdOfTheTimeLeft(double expectedWaitMillis, long timeLeftMillis) {
         Route route = route("r", 1_200, 2);
-        long first = AdmissionControl.retryAfterMillis(route, wait, left, 0).orElseThrow();
-        long last = AdmissionControl.retryAfterMillis(route, wait, left, 1).orElseThrow();
-        assertTrue(first >= Math.min(300, Math.max(1, left / 3)), "first " + first);
-        assertTrue(last <= Math.max(1, left / 3), "last " + last);
-        assertTrue(last > first || last >= left / 3, first + " to " + last);
+        long minRetryAfterMillis = AdmissionControl.retryAfterMillis(route, expectedWaitMillis, timeLeftMillis, 0)
+                .orElseThrow();
+        long maxRetryAfterMillis = AdmissionControl.retryAfterMillis(route, expectedWaitMillis, timeLeftMillis, 1)
+                .orElseThrow();
+        assertTrue(
+                minRetryAfterMillis >= Math.min(300, Math.max(1, timeLeftMillis / 3)), "first " + minRetryAfterMillis);
+        assertTrue(maxRetryAfterMillis <= Math.max(1, timeLeftMillis / 3), "last " + maxRetryAfterMillis);
+        assertTrue(
+                maxRetryAfterMillis > minRetryAfterMillis || maxRetryAfterMillis >= timeLeftMillis / 3,
+                minRetryAfterMillis + " to " + maxRetryAfterMillis);
     }
 
     /**
@@ -79,7 +84,7 @@
      * for a third as fast as they are, having measured nothing yet.
      */
     @Test
-    void aNodeThatHasMeasuredNoSpeedExpectsNoWait() {
+    void expectsNoWaitUntilThePrefillRateIsMeasured() {
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerInstance engine = ServerInstance.of(
                 new ServerRegistration("a", 0, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, false));
@@ -106,16 +111,17 @@
         "2, 1,  true",
         "0, 1,  false",
     })
-    void onlyTheLastRankIsTurnedAway(int ofRoute, int ofWorkspace, boolean expected) {
+    void onlyTheLeastUrgentRankMayBeRejected(int routePriority, int workspacePriority, boolean expected) {
         List<Route> routes = List.of(route("a", 300, 0), route("b", 300, 1), route("c", 300, 2));
-        Map<String, WorkspaceConfig> workspaces = ofWorkspace < 0
+        Map<String, WorkspaceConfig> workspaces = workspacePriority < 0
                 ? Map.of()
                 : Map.of(
                         "k0", new WorkspaceConfig("w0", OptionalInt.of(0)),
                         "k1", new WorkspaceConfig("w1", OptionalInt.of(1)));
         RelayConfig config = RelayConfig.of(
                 1, routes, List.of(ServiceConfig.of("model", 300, 48, 300_000)), workspaces, CallerLimits.DEFAULT);
-        Optional<WorkspaceConfig> workspace = ofWorkspace < 0 ? Optional.empty() : config.workspace("k" + ofWorkspace);
-        assertEquals(expected, config.isLeastUrgent(workspace, routes.get(ofRoute), "model"));
+        Optional<WorkspaceConfig> workspace =
+                workspacePriority < 0 ? Optional.empty() : config.workspace("k" + workspacePriority);
+        assertEquals(expected, config.isLeastUrgent(workspace, routes.get(routePriority), "model"));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/LanePlacementTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/LanePlacementTest.java
@@ -29,15 +29,22 @@
         "2,  500, 90000, 60000,  1",
         "1,  50,  15000, 60000,  1",
     })
-    void shortPromptsGetAsFewEnginesAsHoldThem(int engines, int running, double shorts, double longs, int expected) {
+    void shortLaneIsAsSmallAsItsDemandAllows(
+            int engines, int shortInFlight, double shortTokensPerSecond, double longTokensPerSecond, int expected) {
         assertEquals(
                 expected,
-                LaneSizing.shortLaneSize(engines, 48, new LaneDemand(running, shorts, longs), 42.8, 0.35, false));
+                LaneSizing.shortLaneSize(
+                        engines,
+                        48,
+                        new LaneDemand(shortInFlight, shortTokensPerSecond, longTokensPerSecond),
+                        42.8,
+                        0.35,
+                        false));
     }
 
     /** Load: short prompts that arrive by chance beside streams; the quicker each is read, the more may be read in all. */
     @Test
-    void quickerReadingAndLongerPausesLeaveMoreOfAnEnginesTimeForReading() {
+    void fasterPrefillAndLongerGapsAllowALargerPrefillShare() {
         double slow = LaneSizing.shortPrefillShare(120, 19.3);
         double quick = LaneSizing.shortPrefillShare(150, 11.8);
         assertEquals(0.45, slow, 0.01);
@@ -54,16 +61,16 @@
      * reads a long prompt makes its other streams wait for each piece of it.
      */
     @Test
-    void longPromptsAndShortOnesGoToEnginesOfTheirOwn() {
+    void longAndShortPromptsUseSeparateEngines() {
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
-        List<ServerRegistration> list = new ArrayList<>();
+        List<ServerRegistration> registrations = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            list.add(registration("e" + i, false));
+            registrations.add(registration("e" + i, false));
         }
-        directory.apply(list, 0);
-        Map<String, Integer> longs = new HashMap<>();
-        Map<String, Integer> shorts = new HashMap<>();
+        directory.apply(registrations, 0);
+        Map<String, Integer> longCounts = new HashMap<>();
+        Map<String, Integer> shortCounts = new HashMap<>();
         for (int i = 0; i < 200; i++) {
             boolean isLong = i % 3 == 0;
             PlacementRequest request = new PlacementRequest(
@@ -77,11 +84,11 @@
             placed.server().recordEnd();
             placement.recordEnd(request, placed, i * 10L);
             if (i > 30) {
-                (isLong ? longs : shorts).merge(placed.server().id(), 1, Integer::sum);
+                (isLong ? longCounts : shortCounts).merge(placed.server().id(), 1, Integer::sum);
             }
         }
-        for (String id : shorts.keySet()) {
-            assertFalse(longs.containsKey(id), "engine " + id + " has both");
+        for (String id : shortCounts.keySet()) {
+            assertFalse(longCounts.containsKey(id), "engine " + id + " has both");
         }
     }
 
@@ -91,7 +98,7 @@
      * ended request was judged anew.
      */
     @Test
-    void aRequestEndsAsWhatItWasSentWhateverSpeedWasMeasuredMeanwhile() {
+    void requestEndsInTheLaneItWasSentInAfterTheMeasuredRateChanged() {
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false)), 0);
@@ -115,7 +122,7 @@
      * 50 ms. Cause: it took engines to read 340 tokens a millisecond, and long prompts for short ones.
      */
     @Test
-    void sharedPartsThatAnEngineHeldUnknownMakeItSeemNoFaster() {
+    void unknownCacheHitsDoNotInflateThePrefillRate() {
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false)), 0);
@@ -137,24 +144,26 @@
      * prompts. Cause: a lane's requests never went to the other lane.
      */
     @Test
-    void requestsOfALaneWithoutAFreePlaceGoToTheOtherOne() {
+    void requestsOverflowIntoTheOtherLaneWhenTheirsIsFull() {
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false)), 0);
-        PlacementRequest longs =
+        PlacementRequest longRequest =
                 new PlacementRequest(route(RouteKind.STREAM, true, 2), ENGINES, prompt(9_000, "p"), "north");
-        PlacementRequest shorts =
+        PlacementRequest shortRequest =
                 new PlacementRequest(route(RouteKind.STREAM, false, 1), ENGINES, prompt(800, "q"), "north");
         placement.recordSent(
-                longs, placement.place(longs, directory.available("model"), 0).orElseThrow(), 0);
+                longRequest,
+                placement.place(longRequest, directory.available("model"), 0).orElseThrow(),
+                0);
         ServerInstance first = placement
-                .place(shorts, directory.available("model"), 1)
+                .place(shortRequest, directory.available("model"), 1)
                 .orElseThrow()
                 .server();
         assertEquals(
                 first.id(),
                 placement
-                        .place(shorts, directory.available("model"), 2)
+                        .place(shortRequest, directory.available("model"), 2)
                         .orElseThrow()
                         .server()
                         .id());
@@ -162,7 +171,7 @@
         assertNotEquals(
                 first.id(),
                 placement
-                        .place(shorts, directory.available("model"), 3)
+                        .place(shortRequest, directory.available("model"), 3)
                         .orElseThrow()
                         .server()
                         .id());
@@ -178,27 +187,30 @@
      */
     @ParameterizedTest
     @CsvSource({"49, 10, 17258", "55, 14, 26873", "69, 26, 29220", "69, 47, 60000"})
-    void requestsOfAFullLaneGoWhereAPlaceIsFree(int inFullLane, int elsewhere, long reading) {
+    void requestsOfAFullLaneGoToAnEngineWithAFreeSlot(
+            int inFlightInFullLane, int inFlightElsewhere, long pendingTokensElsewhere) {
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false), registration("c", false)), 0);
-        PlacementRequest longs = new PlacementRequest(ranked(1), ENGINES, prompt(9_000, "p"), "north");
-        PlacementRequest shorts = new PlacementRequest(ranked(0), ENGINES, prompt(800, "q"), "north");
+        PlacementRequest longRequest = new PlacementRequest(routeWithPriority(1), ENGINES, prompt(9_000, "p"), "north");
+        PlacementRequest shortRequest = new PlacementRequest(routeWithPriority(0), ENGINES, prompt(800, "q"), "north");
         placement.recordSent(
-                longs, placement.place(longs, directory.available("model"), 0).orElseThrow(), 0);
+                longRequest,
+                placement.place(longRequest, directory.available("model"), 0).orElseThrow(),
+                0);
         ServerInstance shortLane = placement
-                .place(shorts, directory.available("model"), 1)
+                .place(shortRequest, directory.available("model"), 1)
                 .orElseThrow()
                 .server();
-        shortLane.updatePeerLoad(inFullLane, 9_000);
+        shortLane.updatePeerLoad(inFlightInFullLane, 9_000);
         for (ServerInstance other : directory.available("model")) {
             if (other != shortLane) {
-                other.updatePeerLoad(elsewhere, reading);
+                other.updatePeerLoad(inFlightElsewhere, pendingTokensElsewhere);
             }
         }
         for (int i = 0; i < 6; i++) {
             ServerInstance chosen = placement
-                    .place(shorts, directory.available("model"), 2 + i)
+                    .place(shortRequest, directory.available("model"), 2 + i)
                     .orElseThrow()
                     .server();
             assertNotEquals(shortLane.id(), chosen.id());
@@ -212,38 +224,40 @@
      */
     @ParameterizedTest
     @CsvSource({"2, false", "0, true", "1, true"})
-    void longPromptsThatAreLessUrgentStayInTheirFullLane(int longRank, boolean leaves) {
+    void lessUrgentLongPromptsStayInTheirFullLane(int longRank, boolean overflows) {
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false)), 0);
-        PlacementRequest longs = new PlacementRequest(ranked(longRank), ENGINES, prompt(9_000, "p"), "north");
-        PlacementRequest shorts = new PlacementRequest(ranked(1), ENGINES, prompt(800, "q"), "north");
+        PlacementRequest longRequest =
+                new PlacementRequest(routeWithPriority(longRank), ENGINES, prompt(9_000, "p"), "north");
+        PlacementRequest shortRequest = new PlacementRequest(routeWithPriority(1), ENGINES, prompt(800, "q"), "north");
         PlacementPolicy.Decision first =
-                placement.place(longs, directory.available("model"), 0).orElseThrow();
-        placement.recordSent(longs, first, 0);
+                placement.place(longRequest, directory.available("model"), 0).orElseThrow();
+        placement.recordSent(longRequest, first, 0);
         PlacementPolicy.Decision second =
-                placement.place(shorts, directory.available("model"), 1).orElseThrow();
-        placement.recordSent(shorts, second, 1);
+                placement.place(shortRequest, directory.available("model"), 1).orElseThrow();
+        placement.recordSent(shortRequest, second, 1);
         ServerInstance longLane = placement
-                .place(longs, directory.available("model"), 2)
+                .place(longRequest, directory.available("model"), 2)
                 .orElseThrow()
                 .server();
         longLane.updatePeerLoad(60, 0);
-        PlacementRequest another = new PlacementRequest(ranked(longRank), ENGINES, prompt(9_000, "r"), "north");
-        ServerInstance now = placement
+        PlacementRequest another =
+                new PlacementRequest(routeWithPriority(longRank), ENGINES, prompt(9_000, "r"), "north");
+        ServerInstance chosen = placement
                 .place(another, directory.available("model"), 3)
                 .orElseThrow()
                 .server();
-        assertEquals(leaves, now != longLane);
+        assertEquals(overflows, chosen != longLane);
     }
 
-    private static Route ranked(int priority) {
+    private static Route routeWithPriority(int priority) {
         List<WeightedService> shares = List.of(new WeightedService("model", 1));
         return new Route("r", "h", "/", RouteKind.STREAM, true, shares, 2, 5_000, 300, 120, priority, false, true);
     }
 
     @Test
-    void aPromptGoesWhereItsPartsAreHeldUnlessThatEngineHasMuchToRead() {
+    void promptFollowsItsCachedPartsUnlessThatEngineIsOverloaded() {
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false), registration("c", false)), 0);
@@ -263,15 +277,15 @@
     }
 
     @Test
-    void anEngineIsTakenToHoldWhatFitsItsMemoryTheOldestGoesFirst() {
-        PrefixCacheTracker memory = PrefixCacheTracker.create();
+    void leastRecentlyUsedPartsAreEvictedBeyondTheCapacity() {
+        PrefixCacheTracker caches = PrefixCacheTracker.create();
         Prompt old = Prompt.of(600, 1, List.of(new PromptPart("a", 600)));
-        Prompt young = Prompt.of(500, 1, List.of(new PromptPart("b", 500)));
-        memory.recordPrefill("e", old.parts(), 1_000, 0);
-        assertEquals(600, memory.cachedTokens("e", old));
-        memory.recordPrefill("e", young.parts(), 1_000, 0);
-        assertEquals(0, memory.cachedTokens("e", old));
-        assertEquals(500, memory.cachedTokens("e", young));
-        assertEquals(0, memory.cachedTokens("other", young));
+        Prompt recent = Prompt.of(500, 1, List.of(new PromptPart("b", 500)));
+        caches.recordPrefill("e", old.parts(), 1_000, 0);
+        assertEquals(600, caches.cachedTokens("e", old));
+        caches.recordPrefill("e", recent.parts(), 1_000, 0);
+        assertEquals(0, caches.cachedTokens("e", old));
+        assertEquals(500, caches.cachedTokens("e", recent));
+        assertEquals(0, caches.cachedTokens("other", recent));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/PeerTableTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PeerTableTest.java
@@ -9,27 +9,28 @@
 
 /** Who is heard, in which order, and who reads the store for all. */
 class PeerTableTest {
-    private static PeerReport report(String name, long incarnation, long sequence, boolean store) {
-        return report(name, incarnation, sequence, store, 250);
+    private static PeerReport report(String name, long incarnation, long sequence, boolean storeReachable) {
+        return report(name, incarnation, sequence, storeReachable, 250);
     }
 
-    private static PeerReport report(String name, long incarnation, long sequence, boolean store, long interval) {
+    private static PeerReport report(
+            String name, long incarnation, long sequence, boolean storeReachable, long intervalMillis) {
         return new PeerReport(
                 name,
                 incarnation,
                 sequence,
                 "1.2.3.4:5",
-                store,
+                storeReachable,
                 1,
                 0,
                 0,
-                interval,
+                intervalMillis,
                 Map.of("a", new PeerReport.InstanceLoad(2, 100)),
                 Map.of("model", new LaneDemand(1, 2, 3)));
     }
 
     @Test
-    void theLeastNameThatTheStoreAnswersReadsForAll() {
+    void presentNodeWithTheSmallestNameAndAReachableStoreIsTheReader() {
         PeerTable table = PeerTable.of("b");
         assertTrue(table.isStoreReader(true, 0), "alone");
         table.accept(report("a", 1, 1, true), 0);
@@ -46,7 +47,7 @@
      * peers to tell; one is lost. Cause: a fixed time after which a peer counts as away.
      */
     @Test
-    void aPeerThatReportsSeldomIsAwayLater() {
+    void presenceTimeoutGrowsWithTheReportInterval() {
         PeerTable table = PeerTable.of("b");
         table.accept(report("a", 1, 1, true, 650), 0);
         assertFalse(table.isStoreReader(true, 1_500));
@@ -54,7 +55,7 @@
     }
 
     @Test
-    void reportsThatWereOvertakenChangeNothing() {
+    void ignoresOutdatedAndOwnReports() {
         PeerTable table = PeerTable.of("b");
         assertTrue(table.accept(report("a", 1, 5, true), 0));
         assertFalse(table.accept(report("a", 1, 4, false), 1));
@@ -70,7 +71,7 @@
      * taken from the time of day, so the new one looked older than the one before.
      */
     @Test
-    void aPeerThatStartedAgainIsHeardWhateverItsClockSaid() {
+    void acceptsARestartedPeerWithASmallerIncarnation() {
         PeerTable table = PeerTable.of("b");
         table.accept(report("a", 9_000, 70, true), 0);
         assertTrue(table.accept(report("a", 4_000, 1, true), 100));
--- a/core/src/test/java/org/tanagerhinge/core/relay/PrefixAffinityTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PrefixAffinityTest.java
@@ -30,52 +30,52 @@
         return engines;
     }
 
-    private static Prompt prompt(int thing, int own) {
+    private static Prompt prompt(int prefix, int suffix) {
         return Prompt.of(
-                17_000, 80, List.of(new PromptPart("shared" + thing, 13_300), new PromptPart("own" + own, 3_700)));
+                17_000, 80, List.of(new PromptPart("shared" + prefix, 13_300), new PromptPart("own" + suffix, 3_700)));
     }
 
-    private static PlacementRequest request(int thing, int own) {
+    private static PlacementRequest request(int prefix, int suffix) {
         List<WeightedService> shares = List.of(new WeightedService("model", 1));
         Route route = new Route("r", "h", "/", RouteKind.STREAM, true, shares, 2, 5_000, 300, 120, 0, false, true);
-        return new PlacementRequest(route, ENGINES, prompt(thing, own), "north");
+        return new PlacementRequest(route, ENGINES, prompt(prefix, suffix), "north");
     }
 
-    private static ServerInstance first(Prompt prompt, List<ServerInstance> engines) {
-        PrefixAffinity homes = PrefixAffinity.of(prompt, engines);
+    private static ServerInstance preferredEngine(Prompt prompt, List<ServerInstance> engines) {
+        PrefixAffinity affinity = PrefixAffinity.of(prompt, engines);
         return engines.stream()
-                .filter(engine -> homes.position(engine) == 0)
+                .filter(engine -> affinity.position(engine) == 0)
                 .findFirst()
                 .orElseThrow();
     }
 
     @Test
-    void gatewaysThatRememberNothingChooseTheSameEngine() {
+    void restartedNodesChooseTheSameEngine() {
         List<ServerInstance> engines = engines(10);
-        for (int thing = 0; thing < 50; thing++) {
+        for (int prefix = 0; prefix < 50; prefix++) {
             PromptAwarePlacement one = PromptAwarePlacement.create();
             PromptAwarePlacement other = PromptAwarePlacement.create();
-            one.place(request(thing + 1_000, 0), engines, 0);
+            one.place(request(prefix + 1_000, 0), engines, 0);
             ServerInstance chosen =
-                    one.place(request(thing, 1), engines, 0).orElseThrow().server();
+                    one.place(request(prefix, 1), engines, 0).orElseThrow().server();
             assertEquals(
                     chosen,
-                    other.place(request(thing, 2), engines, 0).orElseThrow().server());
+                    other.place(request(prefix, 2), engines, 0).orElseThrow().server());
         }
     }
 
     @Test
-    void withoutHomesTheyDoNot() {
+    void restartedNodesWithoutAffinityMostlyChooseDifferentEngines() {
         List<ServerInstance> engines = engines(10);
         int same = 0;
-        for (int thing = 0; thing < 50; thing++) {
+        for (int prefix = 0; prefix < 50; prefix++) {
             PromptAwarePlacement one = PromptAwarePlacement.without(Set.of(Mechanism.PREFIX_HOMES));
             PromptAwarePlacement other = PromptAwarePlacement.without(Set.of(Mechanism.PREFIX_HOMES));
-            one.place(request(thing + 1_000, 0), engines, 0);
+            one.place(request(prefix + 1_000, 0), engines, 0);
             ServerInstance chosen =
-                    one.place(request(thing, 1), engines, 0).orElseThrow().server();
+                    one.place(request(prefix, 1), engines, 0).orElseThrow().server();
             same += chosen
-                            == other.place(request(thing, 2), engines, 0)
+                            == other.place(request(prefix, 2), engines, 0)
                                     .orElseThrow()
                                     .server()
                     ? 1
@@ -85,14 +85,14 @@
     }
 
     @Test
-    void partsSpreadEvenlyAndTheLossOfAnEngineMovesOnlyItsOwn() {
+    void partsSpreadEvenlyAndTheLossOfAnEngineMovesOnlyItsParts() {
         List<ServerInstance> all = engines(10);
         List<ServerInstance> fewer = all.subList(0, 9);
         Map<ServerInstance, Integer> counts = new HashMap<>();
-        for (int thing = 0; thing < PARTS; thing++) {
-            ServerInstance before = first(prompt(thing, 0), all);
+        for (int prefix = 0; prefix < PARTS; prefix++) {
+            ServerInstance before = preferredEngine(prompt(prefix, 0), all);
             counts.merge(before, 1, Integer::sum);
-            ServerInstance after = first(prompt(thing, 0), fewer);
+            ServerInstance after = preferredEngine(prompt(prefix, 0), fewer);
             if (before != all.get(9)) {
                 assertEquals(before, after);
             }
@@ -102,25 +102,25 @@
     }
 
     @Test
-    void theSecondHomeIsTheFirstOnceThatIsGone() {
+    void secondPreferredEngineReplacesALostFirst() {
         List<ServerInstance> all = engines(10);
-        for (int thing = 0; thing < 50; thing++) {
-            PrefixAffinity homes = PrefixAffinity.of(prompt(thing, 0), all);
-            ServerInstance first = first(prompt(thing, 0), all);
+        for (int prefix = 0; prefix < 50; prefix++) {
+            PrefixAffinity affinity = PrefixAffinity.of(prompt(prefix, 0), all);
+            ServerInstance first = preferredEngine(prompt(prefix, 0), all);
             List<ServerInstance> others =
                     all.stream().filter(engine -> engine != first).toList();
-            ServerInstance next = first(prompt(thing, 0), others);
-            assertEquals(1, homes.position(next));
+            ServerInstance next = preferredEngine(prompt(prefix, 0), others);
+            assertEquals(1, affinity.position(next));
         }
     }
 
     @Test
-    void aHomeWithTooMuchToReadIsPassedOver() {
+    void overloadedPreferredEngineIsNotChosen() {
         List<ServerInstance> engines = engines(4);
-        ServerInstance home = first(prompt(7, 0), engines);
-        home.recordSent(200_000);
+        ServerInstance preferred = preferredEngine(prompt(7, 0), engines);
+        preferred.recordSent(200_000);
         assertNotEquals(
-                home,
+                preferred,
                 PromptAwarePlacement.create()
                         .place(request(7, 0), engines, 0)
                         .orElseThrow()
@@ -128,9 +128,9 @@
     }
 
     @Test
-    void aPromptThatSharesNothingHasNoHome() {
+    void promptWithoutSharedPartsHasNoPreferredEngine() {
         List<ServerInstance> engines = engines(3);
-        PrefixAffinity homes = PrefixAffinity.of(Prompt.of(100, 10, List.of(new PromptPart("own", 100))), engines);
-        assertTrue(engines.stream().allMatch(engine -> homes.position(engine) < 0));
+        PrefixAffinity affinity = PrefixAffinity.of(Prompt.of(100, 10, List.of(new PromptPart("own", 100))), engines);
+        assertTrue(engines.stream().allMatch(engine -> affinity.position(engine) < 0));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/PrefixPlacementTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PrefixPlacementTest.java
@@ -20,7 +20,7 @@
     private static final ServiceConfig UNLINKED = ServiceConfig.of("model", 300, 48, 1_200_000);
     private static final ServiceConfig SLOW_LINKS = new ServiceConfig("model", 300, 48, 1_200_000, 18_432, 4_000_000);
     /** Longer than a prompt that was sent is taken to wait. */
-    private static final long READ = 2_000;
+    private static final long PREFILLED_MILLIS = 2_000;
 
     private static List<ServerInstance> engines(int count) {
         List<ServerInstance> engines = new ArrayList<>();
@@ -31,7 +31,7 @@
         return engines;
     }
 
-    private static PlacementRequest request(ServiceConfig service, int thing, int own) {
+    private static PlacementRequest request(ServiceConfig service, int prefix, int suffix) {
         Route route = new Route(
                 "r",
                 "h",
@@ -51,8 +51,8 @@
                 80,
                 List.of(
                         new PromptPart("all", 2_000),
-                        new PromptPart("shared" + thing, 11_300),
-                        new PromptPart("own" + own, 3_700)));
+                        new PromptPart("shared" + prefix, 11_300),
+                        new PromptPart("own" + suffix, 3_700)));
         return new PlacementRequest(route, service, prompt, "north");
     }
 
@@ -62,14 +62,14 @@
      * any that had less to do, which made it read them, and so all engines read and kept the same parts.
      */
     @Test
-    void aPartIsReadByFewEnginesHoweverTheirLoadsDiffer() {
-        assertTrue(enginesThatRead(PromptAwarePlacement.create()) <= 3);
-        assertTrue(enginesThatRead(PromptAwarePlacement.without(Set.of(Mechanism.HOLDERS_ONLY))) > 3);
+    void fewEnginesPrefillASharedPartUnderUnevenLoad() {
+        assertTrue(countPrefillingEngines(PromptAwarePlacement.create()) <= 3);
+        assertTrue(countPrefillingEngines(PromptAwarePlacement.without(Set.of(Mechanism.HOLDERS_ONLY))) > 3);
     }
 
-    private static int enginesThatRead(PromptAwarePlacement placement) {
+    private static int countPrefillingEngines(PromptAwarePlacement placement) {
         List<ServerInstance> engines = engines(20);
-        Set<ServerInstance> readers = new HashSet<>();
+        Set<ServerInstance> chosen = new HashSet<>();
         for (int i = 0; i < 200; i++) {
             for (int k = 0; k < engines.size(); k++) {
                 engines.get(k).updatePeerLoad(10, (i * 7_919L + k * 104_729L) % 400_000);
@@ -77,10 +77,10 @@
             PlacementRequest request = request(LINKED, 1, i);
             PlacementPolicy.Decision placed =
                     placement.place(request, engines, i * 20L).orElseThrow();
-            readers.add(placed.server());
+            chosen.add(placed.server());
             placement.recordSent(request, placed, i * 20L);
         }
-        return readers.size();
+        return chosen.size();
     }
 
     /**
@@ -89,22 +89,22 @@
      * home was preferred only while nobody held anything of it.
      */
     @Test
-    void aPromptOfWhichOnlyTheCommonPartIsHeldGoesToItsHome() {
+    void promptWithOnlyTheCommonPartCachedGoesToItsPreferredEngine() {
         List<ServerInstance> engines = engines(10);
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         for (ServerInstance engine : engines) {
             placement.recordPeerPrefill(engine, LINKED, List.of(new PromptPart("all", 2_000)), 0);
         }
-        for (int thing = 0; thing < 20; thing++) {
-            PlacementRequest request = request(LINKED, thing, thing);
-            PrefixAffinity homes = PrefixAffinity.of(request.prompt(), engines);
+        for (int prefix = 0; prefix < 20; prefix++) {
+            PlacementRequest request = request(LINKED, prefix, prefix);
+            PrefixAffinity affinity = PrefixAffinity.of(request.prompt(), engines);
             ServerInstance chosen =
                     placement.place(request, engines, 10).orElseThrow().server();
-            assertEquals(0, homes.position(chosen), "prompt " + thing);
+            assertEquals(0, affinity.position(chosen), "prompt " + prefix);
         }
     }
 
-    private static Optional<PlacementPolicy.PrefixFetch> fetched(
+    private static Optional<PlacementPolicy.PrefixFetch> fetchFromBusyHolder(
             PromptAwarePlacement placement,
             ServiceConfig service,
             List<ServerInstance> candidates,
@@ -120,10 +120,10 @@
     }
 
     @Test
-    void anEngineThatIsChosenInPlaceOfABusyHolderFetchesFromIt() {
+    void engineChosenInPlaceOfABusyHolderFetchesFromIt() {
         List<ServerInstance> engines = engines(6);
-        PlacementPolicy.PrefixFetch fetch = fetched(
-                        PromptAwarePlacement.create(), LINKED, engines, engines.get(2), READ)
+        PlacementPolicy.PrefixFetch fetch = fetchFromBusyHolder(
+                        PromptAwarePlacement.create(), LINKED, engines, engines.get(2), PREFILLED_MILLIS)
                 .orElseThrow();
         assertEquals(engines.get(2), fetch.source());
         assertEquals(13_300, fetch.tokens());
@@ -133,13 +133,14 @@
      * Symptom: log lines told of more fetched tokens than moved. Cause: what the chosen engine held itself was counted too.
      */
     @Test
-    void whatTheChosenEngineHoldsItselfIsNotFetched() {
+    void tokensCachedByTheChosenEngineAreNotFetched() {
         List<ServerInstance> engines = engines(6);
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         engines.forEach(
                 engine -> placement.recordPeerPrefill(engine, LINKED, List.of(new PromptPart("all", 2_000)), 0));
-        PlacementPolicy.PrefixFetch fetch =
-                fetched(placement, LINKED, engines, engines.get(2), READ).orElseThrow();
+        PlacementPolicy.PrefixFetch fetch = fetchFromBusyHolder(
+                        placement, LINKED, engines, engines.get(2), PREFILLED_MILLIS)
+                .orElseThrow();
         assertEquals(11_300, fetch.tokens());
     }
 
@@ -150,64 +151,69 @@
         "900,  false",
         "1000, true",
     })
-    void whatIsStillBeingReadIsNotFetched(long age, boolean expected) {
+    void prefixThatIsStillBeingPrefilledIsNotFetched(long sentAgoMillis, boolean expected) {
         List<ServerInstance> engines = engines(6);
         assertEquals(
                 expected,
-                fetched(PromptAwarePlacement.create(), LINKED, engines, engines.get(2), age)
+                fetchFromBusyHolder(PromptAwarePlacement.create(), LINKED, engines, engines.get(2), sentAgoMillis)
                         .isPresent());
     }
 
     @Test
-    void nothingIsFetchedWhereLinksAreNotToldOrTooSlow() {
+    void nothingIsFetchedOverUnknownOrSlowLinks() {
         for (ServiceConfig service : List.of(UNLINKED, SLOW_LINKS)) {
             List<ServerInstance> engines = engines(6);
             assertEquals(
-                    Optional.empty(), fetched(PromptAwarePlacement.create(), service, engines, engines.get(2), READ));
+                    Optional.empty(),
+                    fetchFromBusyHolder(
+                            PromptAwarePlacement.create(), service, engines, engines.get(2), PREFILLED_MILLIS));
         }
     }
 
     /** What would go wrong: an engine waits for one that is leaving, silent or gone before it reads a prompt. */
     @Test
-    void nothingIsFetchedFromAnEngineThatTakesNoNewWork() {
+    void nothingIsFetchedFromAnUnavailableEngine() {
         List<ServerInstance> engines = engines(6);
         ServerInstance leaving = engines.get(2);
         List<ServerInstance> others =
                 engines.stream().filter(engine -> engine != leaving).toList();
-        assertEquals(Optional.empty(), fetched(PromptAwarePlacement.create(), LINKED, others, leaving, READ));
+        assertEquals(
+                Optional.empty(),
+                fetchFromBusyHolder(PromptAwarePlacement.create(), LINKED, others, leaving, PREFILLED_MILLIS));
     }
 
     /** What would go wrong: another life of a server under its address is asked for what the life before had read. */
     @Test
-    void nothingIsFetchedFromALifeThatHasEnded() {
+    void nothingIsFetchedFromARemovedInstance() {
         List<ServerInstance> engines = engines(6);
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerInstance holder = engines.get(2);
         placement.recordPeerPrefill(
                 holder, LINKED, request(LINKED, 1, 1).prompt().sharedParts(), 0);
         placement.forgetInstance(holder.instanceId());
-        PlacementPolicy.Decision placed =
-                placement.place(request(LINKED, 1, 2), engines, READ).orElseThrow();
+        PlacementPolicy.Decision placed = placement
+                .place(request(LINKED, 1, 2), engines, PREFILLED_MILLIS)
+                .orElseThrow();
         assertEquals(Optional.empty(), placed.fetch());
     }
 
     @Test
-    void aFetchChangesNoChoice() {
-        for (int thing = 0; thing < 30; thing++) {
+    void fetchingDoesNotAffectTheChoiceOfEngine() {
+        for (int prefix = 0; prefix < 30; prefix++) {
             List<ServerInstance> engines = engines(8);
-            ServerInstance with = chosen(PromptAwarePlacement.create(), engines, thing);
-            ServerInstance without = chosen(PromptAwarePlacement.without(Set.of(Mechanism.FETCH)), engines, thing);
+            ServerInstance with = choose(PromptAwarePlacement.create(), engines, prefix);
+            ServerInstance without = choose(PromptAwarePlacement.without(Set.of(Mechanism.FETCH)), engines, prefix);
             assertEquals(with, without);
         }
     }
 
-    private static ServerInstance chosen(PromptAwarePlacement placement, List<ServerInstance> engines, int thing) {
-        ServerInstance holder = engines.get(thing % engines.size());
+    private static ServerInstance choose(PromptAwarePlacement placement, List<ServerInstance> engines, int prefix) {
+        ServerInstance holder = engines.get(prefix % engines.size());
         placement.recordPeerPrefill(
-                holder, LINKED, request(LINKED, thing, 1).prompt().sharedParts(), 0);
-        holder.updatePeerLoad(3, thing * 10_000L);
+                holder, LINKED, request(LINKED, prefix, 1).prompt().sharedParts(), 0);
+        holder.updatePeerLoad(3, prefix * 10_000L);
         return placement
-                .place(request(LINKED, thing, 2), engines, READ)
+                .place(request(LINKED, prefix, 2), engines, PREFILLED_MILLIS)
                 .orElseThrow()
                 .server();
     }
@@ -220,9 +226,16 @@
         "300000, 900000, true,  14",
         "150000, 900000, true,  11",
     })
-    void inAShortageTheMoreUrgentShortPromptsGetWhatTheyNeed(
-            double shorts, double longs, boolean shortFirst, int expected) {
+    void moreUrgentShortPromptsGetTheirDemandInAShortage(
+            double shortTokensPerSecond, double longTokensPerSecond, boolean shortMoreUrgent, int expected) {
         assertEquals(
-                expected, LaneSizing.shortLaneSize(20, 48, new LaneDemand(10, shorts, longs), 42.8, 0.35, shortFirst));
+                expected,
+                LaneSizing.shortLaneSize(
+                        20,
+                        48,
+                        new LaneDemand(10, shortTokensPerSecond, longTokensPerSecond),
+                        42.8,
+                        0.35,
+                        shortMoreUrgent));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/PriorityOrderTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PriorityOrderTest.java
@@ -22,7 +22,7 @@
      * both kinds fill its places and its queue. Cause: whatever came was sent.
      */
     @Test
-    void aServerWhereMoreUrgentRequestsAreOverdueIsLeftToThem() {
+    void lessUrgentRequestsYieldWhereMoreUrgentOnesAreOverdue() {
         RankGate gate = RankGate.create();
         RankGate.PendingRequest first = RankGate.PendingRequest.of("e", 0, 300);
         RankGate.PendingRequest second = RankGate.PendingRequest.of("e", 0, 400);
@@ -41,7 +41,7 @@
      * late. Cause: engines read them in the order of arrival, and the small ones waited for the large ones.
      */
     @Test
-    void whatTakesLittleReadingForItsSizeGoesFirst() {
+    void promptsWithLittlePrefillForTheirSizeGoFirst() {
         PrefillOrder order = PrefillOrder.create();
         Route plan = route(RouteKind.STREAM, true, 2);
         Prompt usual = Prompt.of(9_000, 50, List.of());
@@ -58,7 +58,7 @@
         }
     }
 
-    private static Route kind(int priority) {
+    private static Route routeWithPriority(int priority) {
         return new Route(
                 "r" + priority,
                 "h",
@@ -75,10 +75,10 @@
                 true);
     }
 
-    private static RelayConfig config(int kinds, int... workspaceRanks) {
+    private static RelayConfig config(int routeRanks, int... workspaceRanks) {
         List<Route> routes = new ArrayList<>();
-        for (int priority = 0; priority < kinds; priority++) {
-            routes.add(kind(priority));
+        for (int priority = 0; priority < routeRanks; priority++) {
+            routes.add(routeWithPriority(priority));
         }
         Map<String, WorkspaceConfig> workspaces = new HashMap<>();
         for (int rank : workspaceRanks) {
@@ -96,35 +96,44 @@
      */
     @ParameterizedTest
     @CsvSource({"2", "3", "5", "10"})
-    void noKindGoesBehindALessUrgentOneWhateverTheWorkspaceAndWhicheverRanksAreInForce(int kinds) {
-        List<RelayConfig> configs =
-                List.of(config(kinds), config(kinds, 1), config(kinds, 0, 1), config(kinds, 0, 1, 2, 5, 9, 12));
-        for (int kind = 0; kind + 1 < kinds; kind++) {
-            int most = 0;
-            int least = 9;
+    void routeRanksNeverShareLevelsWhateverTheWorkspaceRanks(int routeRanks) {
+        List<RelayConfig> configs = List.of(
+                config(routeRanks),
+                config(routeRanks, 1),
+                config(routeRanks, 0, 1),
+                config(routeRanks, 0, 1, 2, 5, 9, 12));
+        for (int routeRank = 0; routeRank + 1 < routeRanks; routeRank++) {
+            int maxLevel = 0;
+            int minNextLevel = 9;
             for (RelayConfig config : configs) {
                 for (int rank : new int[] {0, 1, 2, 5, 9, 12}) {
                     Optional<WorkspaceConfig> workspace = config.workspace("key" + rank);
                     for (int step = 0; step < PrefillOrder.STEPS; step++) {
-                        most = Math.max(most, config.priorityLevel(workspace, kind(kind), "model", step));
-                        least = Math.min(least, config.priorityLevel(workspace, kind(kind + 1), "model", step));
+                        maxLevel = Math.max(
+                                maxLevel, config.priorityLevel(workspace, routeWithPriority(routeRank), "model", step));
+                        minNextLevel = Math.min(
+                                minNextLevel,
+                                config.priorityLevel(workspace, routeWithPriority(routeRank + 1), "model", step));
                     }
                 }
             }
-            assertTrue(most < least, "kind " + kind + " goes up to level " + most + ", the next one from " + least);
+            assertTrue(
+                    maxLevel < minNextLevel,
+                    "kind " + routeRank + " goes up to level " + maxLevel + ", the next one from " + minNextLevel);
         }
     }
 
     /** Where more urgent kinds are overdue a preferred workspace yields as well, as it would be put back there otherwise. */
     @Test
-    void theRankThatYieldsIsThatOfTheKindFirst() {
+    void ranksOrderByRouteBeforeWorkspace() {
         RelayConfig config = config(3, 0, 1);
-        int before = -1;
-        for (int kind = 0; kind < 3; kind++) {
-            for (int rank = 0; rank < 2; rank++) {
-                int of = config.rank(config.workspace("key" + rank), kind(kind));
-                assertEquals(before + 1, of, "kind " + kind + " of a workspace of rank " + rank);
-                before = of;
+        int previous = -1;
+        for (int routeRank = 0; routeRank < 3; routeRank++) {
+            for (int workspaceRank = 0; workspaceRank < 2; workspaceRank++) {
+                int combinedRank = config.rank(config.workspace("key" + workspaceRank), routeWithPriority(routeRank));
+                assertEquals(
+                        previous + 1, combinedRank, "kind " + routeRank + " of a workspace of rank " + workspaceRank);
+                previous = combinedRank;
             }
         }
     }
@@ -133,22 +142,28 @@
     @CsvSource({
         "1, 1", "2, 1", "3, 1", "5, 1", "6, 1", "10, 1", "18, 1", "1, 2", "2, 2", "3, 2", "3, 6", "6, 3", "1, 24"
     })
-    void noStepGoesBehindALessUrgentRank(int kinds, int workspaces) {
-        for (int kind = 0; kind < kinds; kind++) {
-            for (int workspace = 0; workspace < workspaces; workspace++) {
-                String of = "kind " + kind + " of " + kinds + ", workspace " + workspace + " of " + workspaces;
-                int last = PriorityLevels.level(kind, kinds, workspace, workspaces, PrefillOrder.STEPS - 1);
-                if (workspace + 1 < workspaces) {
-                    int next = PriorityLevels.level(kind, kinds, workspace + 1, workspaces, 0);
-                    assertTrue(kinds * workspaces <= 10 ? last < next : last <= next, of);
+    void stepsNeverPassALessUrgentRank(int routeRanks, int workspaceRanks) {
+        for (int routeRank = 0; routeRank < routeRanks; routeRank++) {
+            for (int workspaceRank = 0; workspaceRank < workspaceRanks; workspaceRank++) {
+                String description = "kind " + routeRank + " of " + routeRanks + ", workspace " + workspaceRank + " of "
+                        + workspaceRanks;
+                int lastLevel = PriorityLevels.level(
+                        routeRank, routeRanks, workspaceRank, workspaceRanks, PrefillOrder.STEPS - 1);
+                if (workspaceRank + 1 < workspaceRanks) {
+                    int nextLevel = PriorityLevels.level(routeRank, routeRanks, workspaceRank + 1, workspaceRanks, 0);
+                    assertTrue(
+                            routeRanks * workspaceRanks <= 10 ? lastLevel < nextLevel : lastLevel <= nextLevel,
+                            description);
                 }
-                if (kind + 1 < kinds) {
-                    int next = PriorityLevels.level(kind + 1, kinds, 0, workspaces, 0);
-                    assertTrue(kinds <= 10 ? last < next : last <= next, of);
+                if (routeRank + 1 < routeRanks) {
+                    int nextLevel = PriorityLevels.level(routeRank + 1, routeRanks, 0, workspaceRanks, 0);
+                    assertTrue(routeRanks <= 10 ? lastLevel < nextLevel : lastLevel <= nextLevel, description);
                 }
             }
         }
-        assertEquals(0, PriorityLevels.level(0, kinds, 0, workspaces, 0));
-        assertTrue(PriorityLevels.level(kinds - 1, kinds, workspaces - 1, workspaces, PrefillOrder.STEPS - 1) <= 9);
+        assertEquals(0, PriorityLevels.level(0, routeRanks, 0, workspaceRanks, 0));
+        assertTrue(PriorityLevels.level(
+                        routeRanks - 1, routeRanks, workspaceRanks - 1, workspaceRanks, PrefillOrder.STEPS - 1)
+                <= 9);
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/RetryTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/RetryTest.java
@@ -28,20 +28,20 @@
         "STREAM, false, CUT,          1, 1, false",
         "STREAM, true,  CUT,          1, 1, true",
     })
-    void aRequestIsRepeatedOnlyWhereItDoesNoHarm(
-            RouteKind kind, boolean resumable, AttemptEnd end, int runs, int sends, boolean repeated) {
+    void retriesOnlyWhenARepeatedExecutionIsSafe(
+            RouteKind kind, boolean resumable, AttemptEnd end, int executions, int sends, boolean retried) {
         AttemptHistory history = AttemptHistory.of(route(kind, resumable, 2).attemptTerms());
         for (int i = 0; i < sends; i++) {
             history.sent();
-            history.ended(i >= sends - runs);
+            history.ended(i >= sends - executions);
         }
-        assertEquals(repeated, history.mayRepeat(end.mayHaveRun(), 1_000));
+        assertEquals(retried, history.mayRepeat(end.mayHaveRun(), 1_000));
         assertFalse(history.mayRepeat(end.mayHaveRun(), 5), "no time left");
     }
 
     /** Load: every server fails and every request could be repeated; four nodes have one budget. */
     @Test
-    void repeatsOfAllNodesTogetherStayWithinTheBudgetInEachWindow() {
+    void retriesOfAllNodesStayWithinTheBudgetInEveryWindow() {
         double ratio = 0.2;
         double slack = 50;
         List<RetryBudget> nodes = new ArrayList<>();
@@ -50,26 +50,26 @@
             budget.nodes(4);
             nodes.add(budget);
         }
-        List<Long> repeats = new ArrayList<>();
-        List<Long> requests = new ArrayList<>();
+        List<Long> retryTimes = new ArrayList<>();
+        List<Long> requestTimes = new ArrayList<>();
         for (long now = 0; now < 40_000; now += 10) {
             RetryBudget budget = nodes.get((int) (now / 10 % 4));
             budget.request("s", now);
-            requests.add(now);
+            requestTimes.add(now);
             if (budget.take("s", now)) {
-                repeats.add(now);
+                retryTimes.add(now);
             }
         }
-        assertTrue(repeats.size() > 100);
+        assertTrue(retryTimes.size() > 100);
         for (long from = 0; from < 30_000; from += 500) {
-            long begin = from;
-            long in = repeats.stream()
-                    .filter(t -> t >= begin && t < begin + 10_000)
+            long windowStart = from;
+            long retryCount = retryTimes.stream()
+                    .filter(t -> t >= windowStart && t < windowStart + 10_000)
                     .count();
-            long of = requests.stream()
-                    .filter(t -> t >= begin && t < begin + 10_000)
+            long requestCount = requestTimes.stream()
+                    .filter(t -> t >= windowStart && t < windowStart + 10_000)
                     .count();
-            assertTrue(in <= ratio * of + slack, in + " repeats of " + of);
+            assertTrue(retryCount <= ratio * requestCount + slack, retryCount + " repeats of " + requestCount);
         }
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerAnnouncementsTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerAnnouncementsTest.java
@@ -9,56 +9,56 @@
 
 /** What is remembered of servers' words, and for how long. */
 class ServerAnnouncementsTest {
-    private final ServerAnnouncements words = ServerAnnouncements.create();
+    private final ServerAnnouncements announcements = ServerAnnouncements.create();
 
     @Test
-    void aServerThatSaysThatItLeavesDoesSoForTheLifeThatSaidIt() {
-        assertTrue(words.recordLeaving("e@1", 1_000));
-        assertFalse(words.recordLeaving("e@1", 2_000), "known");
-        assertTrue(words.isLeaving("e@1", 60_000));
-        assertFalse(words.isLeaving("e@2", 60_000), "born again, it is another one");
+    void leavingAppliesToTheAnnouncingInstanceOnly() {
+        assertTrue(announcements.recordLeaving("e@1", 1_000));
+        assertFalse(announcements.recordLeaving("e@1", 2_000), "known");
+        assertTrue(announcements.isLeaving("e@1", 60_000));
+        assertFalse(announcements.isLeaving("e@2", 60_000), "born again, it is another one");
     }
 
     @Test
-    void whatIsRememberedLapses() {
-        words.recordLeaving("e@1", 0);
-        words.recordBackoff("f@1", 5_000);
-        words.removeExpired(4_999);
-        assertEquals(2, words.size());
-        assertEquals(1, words.backoffMillis("f@1", 4_999));
-        assertEquals(0, words.backoffMillis("f@1", 5_000));
-        assertFalse(words.isLeaving("e@1", ServerAnnouncements.LEAVING_TTL_MILLIS));
-        words.removeExpired(ServerAnnouncements.LEAVING_TTL_MILLIS);
-        assertEquals(0, words.size());
+    void announcementsExpire() {
+        announcements.recordLeaving("e@1", 0);
+        announcements.recordBackoff("f@1", 5_000);
+        announcements.removeExpired(4_999);
+        assertEquals(2, announcements.size());
+        assertEquals(1, announcements.backoffMillis("f@1", 4_999));
+        assertEquals(0, announcements.backoffMillis("f@1", 5_000));
+        assertFalse(announcements.isLeaving("e@1", ServerAnnouncements.LEAVING_TTL_MILLIS));
+        announcements.removeExpired(ServerAnnouncements.LEAVING_TTL_MILLIS);
+        assertEquals(0, announcements.size());
     }
 
     @Test
-    void aSecondRefusalNeverShortensTheTime() {
-        words.recordBackoff("f@1", 5_000);
-        words.recordBackoff("f@1", 2_000);
-        assertEquals(4_000, words.backoffMillis("f@1", 1_000));
+    void shorterBackoffDoesNotReplaceALongerOne() {
+        announcements.recordBackoff("f@1", 5_000);
+        announcements.recordBackoff("f@1", 2_000);
+        assertEquals(4_000, announcements.backoffMillis("f@1", 1_000));
     }
 
     @Test
-    void whatIsKeptAndToldIsBounded() {
+    void storedAndReportedAnnouncementsAreBounded() {
         for (int i = 0; i < 3 * ServerAnnouncements.MAX_SERVERS; i++) {
-            words.recordLeaving("e-" + i, i);
+            announcements.recordLeaving("e-" + i, i);
         }
-        assertEquals(ServerAnnouncements.MAX_SERVERS, words.size());
+        assertEquals(ServerAnnouncements.MAX_SERVERS, announcements.size());
         assertEquals(
                 ServerAnnouncements.MAX_SERVERS_PER_REPORT,
-                words.nextLeavingReport().size());
+                announcements.nextLeavingReport().size());
     }
 
     @Test
-    void newsIsToldThreeTimesAndWhatAPeerToldIsNotToldOn() {
-        words.recordLeaving("e@1", 0);
-        assertTrue(words.recordPeerReportedLeaving("f@1", 0));
-        assertFalse(words.recordPeerReportedLeaving("f@1", 1));
-        assertTrue(words.isLeaving("f@1", 1));
+    void leavingIsReportedThreeTimesAndPeerReportsAreNotForwarded() {
+        announcements.recordLeaving("e@1", 0);
+        assertTrue(announcements.recordPeerReportedLeaving("f@1", 0));
+        assertFalse(announcements.recordPeerReportedLeaving("f@1", 1));
+        assertTrue(announcements.isLeaving("f@1", 1));
         for (int i = 0; i < 3; i++) {
-            assertEquals(List.of("e@1"), words.nextLeavingReport());
+            assertEquals(List.of("e@1"), announcements.nextLeavingReport());
         }
-        assertTrue(words.nextLeavingReport().isEmpty());
+        assertTrue(announcements.nextLeavingReport().isEmpty());
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerDirectoryTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerDirectoryTest.java
@@ -11,7 +11,7 @@
 /** Which backend servers are believed in. */
 class ServerDirectoryTest {
     @Test
-    void aServerThatIsMissingFromAListIsGone() {
+    void serverMissingFromAListIsRemoved() {
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false)), 1_000);
         directory.apply(List.of(registration("a", false)), 1_800);
@@ -24,7 +24,7 @@
      * nothing in it was taken for the truth.
      */
     @Test
-    void registrationsThatLapsedWhileTheStoreWasAwayAreWaitedForAndThoseStillMissingAreGone() {
+    void lapsedRegistrationsAreKeptForAWhileAfterAStoreOutage() {
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", false), registration("b", false)), 1_000);
         directory.apply(List.of(), 9_000);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aServerThatHasSaidThatItLeavesStaysLeaving() {
+    void drainingServerStaysDraining() {
         ServerDirectory directory = ServerDirectory.create();
         directory.apply(List.of(registration("a", true)), 1_000);
         directory.apply(List.of(registration("a", false)), 1_800);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void equalListsHaveEqualDigestsWhateverTheirOrder() {
+    void digestDoesNotDependOnTheOrderOfTheList() {
         ServerDirectory one = ServerDirectory.create();
         ServerDirectory other = ServerDirectory.create();
         one.apply(List.of(registration("a", false), registration("b", false)), 1);
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerHealthTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerHealthTest.java
@@ -8,7 +8,7 @@
 /** Which servers are left out for their answers. */
 class ServerHealthTest {
     @Test
-    void aServerThatFailsInARowIsLeftOutAndComesBackByASingleProbe() {
+    void consecutiveFailuresEjectUntilASingleProbeSucceeds() {
         ServerHealth health = ServerHealth.create();
         for (int i = 0; i < 3; i++) {
             assertTrue(health.usable(0));
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aServerThatAnswersWithAnErrorNowAndThenIsNotLeftOut() {
+    void occasionalErrorsDoNotEject() {
         ServerHealth health = ServerHealth.create();
         for (int i = 0; i < 1_000; i++) {
             if (i % 7 == 0) {
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerRestartTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerRestartTest.java
@@ -22,8 +22,9 @@
 class ServerRestartTest {
     private static final ServiceConfig ENGINES = ServiceConfig.of("model", 300, 48, 300_000);
 
-    private static ServerRegistration born(String id, long born) {
-        return new ServerRegistration(id, born, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, false);
+    private static ServerRegistration registration(String id, long startedAtMillis) {
+        return new ServerRegistration(
+                id, startedAtMillis, "model", new InetSocketAddress("127.0.0.1", 1), "north", 48, false);
     }
 
     private static List<ServerChange.Kind> kinds(List<ServerChange> changes) {
@@ -31,9 +32,9 @@
     }
 
     @Test
-    void aServerBornAgainUnderItsIdIsAnotherOne() {
+    void restartUnderTheSameIdReplacesTheInstance() {
         ServerDirectory directory = ServerDirectory.create();
-        directory.apply(List.of(born("e", 100), born("f", 100)), 0);
+        directory.apply(List.of(registration("e", 100), registration("f", 100)), 0);
         ServerInstance first = directory.instance("e@100");
         first.recordSent(9_000);
         for (int i = 0; i < 3; i++) {
@@ -41,7 +42,7 @@
         }
         long digest = directory.digest();
 
-        List<ServerChange> changes = directory.apply(List.of(born("e", 200), born("f", 100)), 800);
+        List<ServerChange> changes = directory.apply(List.of(registration("e", 200), registration("f", 100)), 800);
 
         assertEquals(List.of(ServerChange.Kind.REMOVED, ServerChange.Kind.ADDED), kinds(changes));
         assertEquals("e@100", changes.get(0).instanceId());
@@ -55,52 +56,52 @@
     }
 
     @Test
-    void whatIsToldOfAnEarlierLifeNamesNoServer() {
+    void previousInstanceIdResolvesToNoServer() {
         ServerDirectory directory = ServerDirectory.create();
-        directory.apply(List.of(born("e", 100)), 0);
-        directory.apply(List.of(born("e", 200)), 800);
+        directory.apply(List.of(registration("e", 100)), 0);
+        directory.apply(List.of(registration("e", 200)), 800);
         assertNull(directory.instance("e@100"));
         assertNull(directory.instance("e"));
         assertNotNull(directory.instance("e@200"));
     }
 
     @Test
-    void aListThatWasAskedForEarlierBringsNoEarlierLifeBack() {
+    void olderListDoesNotRestoreAPreviousInstance() {
         ServerDirectory directory = ServerDirectory.create();
-        directory.apply(List.of(born("e", 200), born("f", 100)), 800);
-        assertTrue(directory.apply(List.of(born("e", 100)), 700).isEmpty());
+        directory.apply(List.of(registration("e", 200), registration("f", 100)), 800);
+        assertTrue(directory.apply(List.of(registration("e", 100)), 700).isEmpty());
         assertNotNull(directory.instance("e@200"));
         assertNotNull(directory.instance("f@100"), "an older list doesn't end servers either");
     }
 
     @Test
-    void theTimeOfDayMayHaveSteppedBackBetweenTwoLives() {
+    void restartWithAnEarlierStartTimeIsANewInstance() {
         ServerDirectory directory = ServerDirectory.create();
-        directory.apply(List.of(born("e", 200)), 0);
-        directory.apply(List.of(born("e", 100)), 800);
+        directory.apply(List.of(registration("e", 200)), 0);
+        directory.apply(List.of(registration("e", 100)), 800);
         assertNotNull(directory.instance("e@100"));
     }
 
     @Test
-    void promptsOfAnEarlierLifeAreReadAgain() {
+    void restartClearsTheCachedPrefixes() {
         ServerDirectory directory = ServerDirectory.create();
-        directory.apply(List.of(born("e", 100)), 0);
+        directory.apply(List.of(registration("e", 100)), 0);
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         Prompt prompt = Prompt.of(3_000, 80, List.of(new PromptPart("shared", 2_500), new PromptPart("own", 500)));
         PlacementRequest request = new PlacementRequest(route(), ENGINES, prompt, "north");
-        placement.recordSent(request, placed(placement, request, directory), 0);
-        assertEquals(500, placed(placement, request, directory).tokensToPrefill());
+        placement.recordSent(request, decide(placement, request, directory), 0);
+        assertEquals(500, decide(placement, request, directory).tokensToPrefill());
 
-        for (ServerChange change : directory.apply(List.of(born("e", 200)), 800)) {
+        for (ServerChange change : directory.apply(List.of(registration("e", 200)), 800)) {
             if (change.kind() == ServerChange.Kind.REMOVED) {
                 placement.forgetInstance(change.instanceId());
             }
         }
 
-        assertEquals(3_000, placed(placement, request, directory).tokensToPrefill());
+        assertEquals(3_000, decide(placement, request, directory).tokensToPrefill());
     }
 
-    private static PlacementPolicy.Decision placed(
+    private static PlacementPolicy.Decision decide(
             PromptAwarePlacement placement, PlacementRequest request, ServerDirectory directory) {
         return placement.place(request, directory.available("model"), 900).orElseThrow();
     }
@@ -112,9 +113,9 @@
 
     @ParameterizedTest
     @CsvSource({"0, e", "1764717600000, e@1764717600000"})
-    void aServerThatTellsNoBirthHasOneLife(long born, String life) {
-        assertEquals(life, born("e", born).instanceId());
-        assertTrue(Stream.of(born("e", born))
-                .allMatch(one -> ServerInstance.of(one).instanceId().equals(life)));
+    void instanceIdIsTheServerIdWithoutAStartTime(long startedAtMillis, String instanceId) {
+        assertEquals(instanceId, registration("e", startedAtMillis).instanceId());
+        assertTrue(Stream.of(registration("e", startedAtMillis))
+                .allMatch(one -> ServerInstance.of(one).instanceId().equals(instanceId)));
     }
 }
