--- a/core/src/main/java/org/tanagerhinge/core/message/AgentLoad.java
+++ b/core/src/main/java/org/tanagerhinge/core/message/AgentLoad.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What an agent knows of its backend server's load.
+ * Reports the load of a backend server as its agent sees it.
  *
  * @param inFlight requests at the backend server
- * @param concurrencyLimit requests that the agent lets run at once
- * @param queuedUnitsByTier expected units queued, by tier, the first for tier 1
- * @param runningUnits expected units still to come from what is in flight
- * @param unitsPerSecond measured rate of the backend server; zero before anything was measured
- * @param streamUnitsPerSecond measured rate of one stream; zero before anything was measured
- * @param queueLength requests queued
- * @param accepting false when the agent takes no new work
+ * @param concurrencyLimit maximum number of requests that the agent sends to the backend server at once
+ * @param queuedUnitsByTier expected units of the queued requests by tier; index 0 is tier 1
+ * @param runningUnits expected units still to come from the requests in flight
+ * @param unitsPerSecond measured throughput of the backend server; zero when not yet measured
+ * @param streamUnitsPerSecond measured rate of one stream; zero when not yet measured
+ * @param queueLength number of queued requests
+ * @param accepting whether the agent takes new requests
  */
 public record AgentLoad(
         int inFlight,
@@ -27,7 +27,7 @@
         queuedUnitsByTier = List.copyOf(queuedUnitsByTier);
     }
 
-    /** Returns the load of an agent that has reported nothing yet. */
+    /** Returns the load assumed for an agent that has not reported yet. */
     public static AgentLoad initial() {
         return new AgentLoad(0, 1, List.of(), 0, 0, 0, 0, true);
     }
--- a/core/src/main/java/org/tanagerhinge/core/message/Frame.java
+++ b/core/src/main/java/org/tanagerhinge/core/message/Frame.java
@@ -8,30 +8,30 @@
 import org.tanagerhinge.core.result.ResultCode;
 
 /**
- * One message between a router and an agent.
+ * Defines the messages between a router and an agent.
  *
- * <p>An attempt number names one attempt of one request; it is chosen by the router and unique within a router run.
- * Units are tokens for a model and bytes for a plain service.
+ * <p>An attempt number identifies one attempt of one request; it is chosen by the router and unique within a router
+ * process. Units are tokens for a model and bytes for a plain service.
  */
 public sealed interface Frame {
 
-    /** A message that a router sends to an agent. */
+    /** Marks a message from a router to an agent. */
     sealed interface FromRouter extends Frame {}
 
-    /** A message that an agent sends to a router. */
+    /** Marks a message from an agent to a router. */
     sealed interface FromAgent extends Frame {}
 
-    /** A message that either side sends. */
+    /** Marks a message that either side sends. */
     sealed interface FromEither extends FromRouter, FromAgent {}
 
     /**
-     * Asks the agent to queue and run one attempt.
+     * Requests that the agent queues and runs one attempt.
      *
      * @param timeLeft time until the deadline of the request; a duration, because hosts' clocks differ
-     * @param execution set for a non-idempotent request: the record under which the agent runs it at most once
-     * @param resumeText text that the caller already has, to be continued; empty for a fresh answer
+     * @param execution for a non-idempotent request, the record under which the agent runs it at most once; else empty
+     * @param resumeText text that the caller already has and that is to be continued; empty for a new answer
      * @param resumeFromUnits units that the caller already has
-     * @param expectedUnits how many units the router expects the rest of the answer to have
+     * @param expectedUnits units that the router expects in the rest of the answer
      */
     record Submit(
             long attempt,
@@ -45,60 +45,60 @@
             implements FromRouter {}
 
     /**
-     * Asks the agent for the output of a non-idempotent request that it was given before, from its beginning on.
+     * Requests the output, from its start, of a non-idempotent request that the agent was given before.
      *
-     * <p>The agent answers as to a submit; {@link NotRun} then means that this execution never began here and never
-     * will.
+     * <p>The agent replies as to a {@link Submit}; {@link NotRun} then means that the execution did not start here and
+     * never will.
      *
-     * @param incarnation the agent run that was given the request; another run cannot tell
+     * @param incarnation incarnation of the agent that was given the request; another one cannot tell the outcome
      */
     record Attach(long attempt, Execution execution, long incarnation) implements FromRouter {}
 
     /**
-     * Says that nobody waits for an attempt any more.
+     * Cancels an attempt whose answer is no longer wanted.
      *
-     * @param continueRun whether a non-idempotent run goes on all the same, for its caller to fetch the result later
+     * @param continueRun whether a non-idempotent run continues, so that its caller can fetch the result later
      */
     record Cancel(long attempt, boolean continueRun) implements FromRouter {}
 
-    /** Says that the caller took more units of an attempt's answer. */
+    /** Reports that the caller consumed more units of an attempt's answer. */
     record Credit(long attempt, long units) implements FromRouter {}
 
-    /** The attempt that was attached to is queued here and has not begun. */
+    /** Reports that the attached attempt is queued and has not started. */
     record Queued(long attempt) implements FromAgent {}
 
-    /** The attempt is at the backend server; from here on it may have run. */
+    /** Reports that the attempt was sent to the backend server; from here on it may have run. */
     record Started(long attempt) implements FromAgent {}
 
-    /** The status and content type of a plain service's answer. */
+    /** Carries the status and content type of a plain service's answer. */
     record Head(long attempt, int status, String contentType) implements FromAgent {}
 
     /**
-     * A piece of an answer.
+     * Carries a piece of an answer.
      *
-     * @param offsetUnits units of the whole answer before this piece
+     * @param offsetUnits units of the complete answer before this piece
      * @param units units in this piece
      */
     record Chunk(long attempt, long offsetUnits, long units, byte[] data) implements FromAgent {}
 
-    /** The answer is whole. */
+    /** Reports that the answer is complete. */
     record Done(long attempt, long totalUnits, String finishReason, AgentLoad load) implements FromAgent {}
 
-    /** The attempt did not run here and will not. */
+    /** Reports that the attempt did not run at this agent and will not. */
     record NotRun(long attempt, ResultCode code, Duration retryAfter, AgentLoad load) implements FromAgent {}
 
-    /** The attempt ended without a whole answer and may have run. */
+    /** Reports that the attempt ended without a complete answer and may have run. */
     record Failed(long attempt, ResultCode code, String detail, AgentLoad load) implements FromAgent {}
 
-    /** Tells how loaded an agent is; sent on its own when nothing else was sent for a while. */
+    /** Reports the load of an agent; sent once per heartbeat interval and when the agent starts or stops accepting work. */
     record LoadReport(AgentLoad load) implements FromAgent {}
 
-    /** Shows that the sender is alive, and which configuration it has. */
+    /** Signals that the sender is alive and which configuration it has. */
     record Heartbeat(ConfigRevision revision) implements FromEither {}
 
-    /** Asks for the peer's configuration. */
+    /** Requests the peer's configuration. */
     record ConfigPull() implements FromEither {}
 
-    /** Gives the sender's configuration. */
+    /** Carries the sender's configuration. */
     record ConfigPush(ClusterConfig config) implements FromEither {}
 }
--- a/core/src/main/java/org/tanagerhinge/core/message/SchedulingParameters.java
+++ b/core/src/main/java/org/tanagerhinge/core/message/SchedulingParameters.java
@@ -5,13 +5,14 @@
 import org.tanagerhinge.core.config.Workspace;
 
 /**
- * The parts of a profile that an agent orders by.
+ * Holds the parts of a profile by which an agent admits and orders requests.
  *
- * @param tier 1 is the highest
- * @param sharePercent the part of the backend server's service that the class is guaranteed while it has work queued
- * @param maxQueuedRequests requests of the class that one agent queues at the most
- * @param firstOutputTarget time to the first output that the contract promises; zero for none
- * @param workspaceWeight weight of the workspace against others in the class
+ * @param tier priority, 1 (highest) to 6
+ * @param sharePercent share of the backend server's service guaranteed to the class while it has queued requests
+ * @param maxQueuedRequests maximum number of requests of the class queued at one agent
+ * @param idempotent whether a request may be run more than once
+ * @param firstOutputTarget promised time to the first output; zero for none
+ * @param workspaceWeight weight of the workspace relative to others in the class
  */
 public record SchedulingParameters(
         int tier,
@@ -20,7 +21,7 @@
         boolean idempotent,
         Duration firstOutputTarget,
         double workspaceWeight) {
-    /** Returns the terms of a profile for a workspace. */
+    /** Returns the parameters of a profile for a workspace. */
     public static SchedulingParameters of(Profile profile, Workspace workspace) {
         return new SchedulingParameters(
                 profile.tier(),
--- a/core/src/main/java/org/tanagerhinge/core/message/WorkItem.java
+++ b/core/src/main/java/org/tanagerhinge/core/message/WorkItem.java
@@ -5,11 +5,12 @@
 import org.tanagerhinge.core.id.WorkspaceId;
 
 /**
- * What is to be run, for whom, and on which terms.
+ * Describes a call to run, its workspace and its scheduling parameters.
  *
- * <p>The terms travel with the request, so that an agent whose configuration lags still orders by the router's.
+ * <p>The parameters travel with the request, so that an agent whose configuration is out of date schedules by the
+ * router's.
  *
- * @param promptUnits estimated size of the prompt in tokens; zero for a plain service
+ * @param promptUnits estimated prompt length in tokens; zero for a plain service
  */
 public record WorkItem(
         WorkspaceId workspace,
--- a/core/src/main/java/org/tanagerhinge/core/message/package-info.java
+++ b/core/src/main/java/org/tanagerhinge/core/message/package-info.java
@@ -1,2 +1,2 @@
-/** The typed messages between routers and agents; how they look on the wire is the wire module's matter. */
+/** Typed messages between routers and agents; the wire module encodes them. */
 package org.tanagerhinge.core.message;
--- a/core/src/main/java/org/tanagerhinge/core/result/RequestFailure.java
+++ b/core/src/main/java/org/tanagerhinge/core/result/RequestFailure.java
@@ -4,12 +4,12 @@
 import java.util.Objects;
 
 /**
- * Says why a request got no whole answer.
+ * Describes why a request got no complete answer.
  *
  * @param code the numbered reason
  * @param outcome what is known about whether the request ran
- * @param retryAfter when the caller should come back; zero when coming back does not help
- * @param detail a sentence for people, naming the offending value where there is one
+ * @param retryAfter time after which the caller should retry; zero if a retry does not help
+ * @param detail a sentence for people that names the offending value, if any
  */
 public record RequestFailure(ResultCode code, RunOutcome outcome, Duration retryAfter, String detail) {
     public RequestFailure {
@@ -19,17 +19,17 @@
         Objects.requireNonNull(detail);
     }
 
-    /** Returns a refusal of a request that provably did not run, with no advice to come back. */
+    /** Returns the failure of a request that provably did not run, without a retry time. */
     public static RequestFailure notRun(ResultCode code, String detail) {
         return new RequestFailure(code, RunOutcome.NOT_RUN, Duration.ZERO, detail);
     }
 
-    /** Returns a refusal of a request that provably did not run and may be tried again after a while. */
+    /** Returns the failure of a request that provably did not run and may be retried after a time. */
     public static RequestFailure notRun(ResultCode code, Duration retryAfter, String detail) {
         return new RequestFailure(code, RunOutcome.NOT_RUN, retryAfter, detail);
     }
 
-    /** Returns the end of a request that may have run. */
+    /** Returns the failure of a request that may have run. */
     public static RequestFailure outcomeUnknown(ResultCode code, String detail) {
         return new RequestFailure(code, RunOutcome.UNKNOWN, Duration.ZERO, detail);
     }
--- a/core/src/main/java/org/tanagerhinge/core/result/ResultCode.java
+++ b/core/src/main/java/org/tanagerhinge/core/result/ResultCode.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * Numbers every way in which a request can end, in the error body, the {@code X-Tanagerhinge-Result} header, logs and
+ * Numbers the ways in which a request can end, for the error body, the {@code X-Tanagerhinge-Result} header, logs and
  * metrics.
  *
- * <p>Numbers are never used again for another meaning. 1xxx are faults of the call, 2xxx refusals for load or policy,
- * 3xxx failures on the way, 4xxx questions of at-most-once, 5xxx faults of the system itself. The table in
- * {@code docs/RESULT-CODES.md} is kept equal to this type by a test.
+ * <p>A number is never reused for another meaning. 1xxx are faults of the call, 2xxx rejections for load or policy,
+ * 3xxx failures in transit, 4xxx at-most-once conflicts, 5xxx faults of the system itself. A test keeps the table in
+ * {@code docs/RESULT-CODES.md} equal to this type.
  */
 public enum ResultCode {
     OK(0, 200, "the answer is whole"),
@@ -50,7 +50,7 @@
     NOT_READY(5001, 503, "the node has no configuration yet"),
     INTERNAL(5002, 500, "a fault of the router or agent itself");
 
-    /** Header that carries the number of a refusal's code. */
+    /** Name of the header that carries the number of a failure's code. */
     public static final String HEADER = "X-Tanagerhinge-Result";
 
     private final int number;
@@ -85,7 +85,7 @@
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Returns whether a refusal with this code may be lifted by trying again later. */
+    /** Returns whether a request that failed with this code may succeed when retried later. */
     public boolean retryable() {
         return switch (this) {
             case QUEUE_FULL,
--- a/core/src/main/java/org/tanagerhinge/core/result/RunOutcome.java
+++ b/core/src/main/java/org/tanagerhinge/core/result/RunOutcome.java
@@ -2,16 +2,16 @@
 
 import java.util.Locale;
 
-/** What is known about whether a request ran, as told to its caller. */
+/** Tells a caller what is known about whether its request ran. */
 public enum RunOutcome {
-    /** It provably did not run, and will not. */
+    /** The request provably did not run and will not. */
     NOT_RUN,
-    /** It may have run, in part or whole. */
+    /** The request may have run, in part or completely. */
     UNKNOWN,
-    /** It ran, and its result is known. */
+    /** The request ran, and its result is known. */
     COMPLETE;
 
-    /** Returns the word used in error bodies, for example {@code not_run}. */
+    /** Returns the name used in error bodies, for example {@code not_run}. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/core/src/main/java/org/tanagerhinge/core/result/package-info.java
+++ b/core/src/main/java/org/tanagerhinge/core/result/package-info.java
@@ -1,2 +1,2 @@
-/** Numbered result codes, refusals, and the root of the exception family. */
+/** Numbered result codes, request failures, and the base class of the checked exceptions. */
 package org.tanagerhinge.core.result;
--- a/core/src/test/java/org/tanagerhinge/core/result/ResultCodesPageTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/result/ResultCodesPageTest.java
@@ -8,10 +8,10 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The table of result codes in the docs is the one in the code. */
+/** Checks that the table of result codes in the documentation equals the enum. */
 class ResultCodesPageTest {
     @Test
-    void thePageHoldsTheCodes() throws Exception {
+    void documentedTableEqualsResultCodes() throws Exception {
         String expected = Arrays.stream(ResultCode.values())
                 .map(code -> "| " + code.number() + " | `" + code.label() + "` | " + code.httpStatus() + " | "
                         + (code.retryable() ? "yes" : "no") + " | " + code.meaning() + " |")
