--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
@@ -146,8 +146,8 @@
                 .header("Authorization", "Token key-1")
                 .header(PlatformNames.ATTEMPT_ID, id)
                 .header(PlatformNames.DEADLINE, "4000")
-                .header(PlatformNames.TOKENS, "900,80")
-                .header(PlatformNames.PARTS, "aa:600,bb:300")
+                .header(PlatformNames.TOKEN_COUNT, "900,80")
+                .header(PlatformNames.PROMPT_PREFIX, "aa:600,bb:300")
                 .POST(HttpRequest.BodyPublishers.ofString("{}"))
                 .build();
         int status =
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/JsonCallerTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/JsonCallerTest.java
@@ -17,7 +17,7 @@
 
 /** Calls that several parts of a gateway make on one connection. */
 class JsonCallerTest {
-    private static final String READ = PlatformNames.RANGE_CALL + "?prefix=none/";
+    private static final String READ = PlatformNames.RANGE_PATH + "?prefix=none/";
     private static final long LONG_MILLIS = 20_000;
 
     private final StoreStandin store = StoreStandin.start(0);
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayControlTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayControlTest.java
@@ -93,8 +93,8 @@
         RelayScene.await(() -> gateway.configVersion() == version);
         String older = "{\"version\":1,\"routes\":[],\"services\":[],\"limits\":{},\"tenants\":[]}";
         scene.store.put(PlatformNames.CONFIG_KEY, older);
-        int calls = scene.store.calls(PlatformNames.WATCH_CALL);
-        RelayScene.await(() -> scene.store.calls(PlatformNames.WATCH_CALL) > calls + 1);
+        int calls = scene.store.calls(PlatformNames.WATCH_PATH);
+        RelayScene.await(() -> scene.store.calls(PlatformNames.WATCH_PATH) > calls + 1);
         assertEquals(version, gateway.configVersion());
         assertEquals(200, status(gateway, "/safe/x"));
     }
@@ -122,10 +122,10 @@
         // only the gateway with the least name reads for all.
         long version = scene.platform.publish();
         RelayScene.await(() -> reader.configVersion() == version && other.configVersion() == version);
-        int watches = scene.store.calls(PlatformNames.WATCH_CALL);
+        int watches = scene.store.calls(PlatformNames.WATCH_PATH);
         long next = scene.platform.publish();
         RelayScene.await(() -> other.configVersion() == next);
-        assertTrue(scene.store.calls(PlatformNames.WATCH_CALL) <= watches + 3, "one watch for both");
+        assertTrue(scene.store.calls(PlatformNames.WATCH_PATH) <= watches + 3, "one watch for both");
     }
 
     /**
@@ -197,12 +197,12 @@
         scene.server("s-1", "plain", ServerStandin.plain(200, "x"));
         GatewayDaemon gateway = scene.gateway();
         scene.platform.publish();
-        int watches = scene.store.calls(PlatformNames.WATCH_CALL);
-        RelayScene.await(() -> scene.store.calls(PlatformNames.WATCH_CALL) > watches);
+        int watches = scene.store.calls(PlatformNames.WATCH_PATH);
+        RelayScene.await(() -> scene.store.calls(PlatformNames.WATCH_PATH) > watches);
         scene.store.silenceOpenConnections();
         long version = scene.platform.publish();
         RelayScene.await(() -> gateway.configVersion() == version);
-        assertEquals(0, scene.store.lost(PlatformNames.KEY_CALL), "asked on a connection opened before");
+        assertEquals(0, scene.store.lost(PlatformNames.KEY_PATH), "asked on a connection opened before");
     }
 
     /**
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayPathTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayPathTest.java
@@ -27,10 +27,10 @@
         scene.platform.service("plain", 0);
         scene.platform.service("model", 8);
         scene.platform.route("/safe/", "safe", "plain");
-        scene.platform.route("/once/", "unsafe", "plain").put(PlatformNames.MOST_ATTEMPTS, 1);
+        scene.platform.route("/once/", "unsafe", "plain").put(PlatformNames.MAX_ATTEMPTS, 1);
         scene.platform.route("/stream/", "streaming", "model").put(PlatformNames.RESUMABLE, true);
-        scene.platform.route("/ask/", "streaming", "model").put(PlatformNames.MOST_ATTEMPTS, 1);
-        scene.platform.route("/open/", "safe", "plain").put(PlatformNames.OPEN, true);
+        scene.platform.route("/ask/", "streaming", "model").put(PlatformNames.MAX_ATTEMPTS, 1);
+        scene.platform.route("/open/", "safe", "plain").put(PlatformNames.PUBLIC, true);
         scene.platform.workspace("coop", "key-1");
         scene.platform.publish();
     }
@@ -54,7 +54,7 @@
         RawCaller.Answer answer = ask(gateway, "POST", "/safe/a%20b?x=1", "X-Other: kept\r\n", "{\"n\": 1}");
         assertEquals(200, answer.status());
         assertEquals("the body", answer.body());
-        assertEquals("seal-of-s-1", answer.header(PlatformNames.SEAL));
+        assertEquals("seal-of-s-1", answer.header(PlatformNames.SERVER_SEAL));
         RawServer.Request seen = server.seen().get(0);
         assertEquals("/safe/a%20b?x=1", seen.target());
         assertEquals("POST", seen.method());
@@ -71,15 +71,16 @@
     void whatOnlyTheRelayMaySetIsTakenOutOfACallersRequest() throws IOException {
         ServerStandin server = scene.server("s-1", "plain", ServerStandin.plain(200, "x"));
         GatewayDaemon gateway = scene.gateway();
-        String forged = PlatformNames.TENANT + ": other\r\n" + PlatformNames.HOLD + ": 1\r\n" + PlatformNames.PIN
-                + ": 1\r\n" + PlatformNames.BACKUP + ": 1.2.3.4:5\r\n" + PlatformNames.MEMORY_FROM
+        String forged = PlatformNames.TENANT + ": other\r\n" + PlatformNames.HOLD + ": 1\r\n" + PlatformNames.PIN_MILLIS
+                + ": 1\r\n" + PlatformNames.KV_BACKUP + ": 1.2.3.4:5\r\n" + PlatformNames.KV_FROM
                 + ": 1.2.3.4:5/6\r\n" + PlatformNames.EXPECT_INSTANCE + ": s-9\r\n";
         assertEquals(200, ask(gateway, "GET", "/safe/x", forged, "").status());
         RawServer.Request seen = server.seen().get(0);
         assertEquals("coop", seen.header(PlatformNames.TENANT));
         assertEquals("s-1", seen.header(PlatformNames.EXPECT_INSTANCE));
-        for (String name :
-                new String[] {PlatformNames.HOLD, PlatformNames.PIN, PlatformNames.BACKUP, PlatformNames.MEMORY_FROM}) {
+        for (String name : new String[] {
+            PlatformNames.HOLD, PlatformNames.PIN_MILLIS, PlatformNames.KV_BACKUP, PlatformNames.KV_FROM
+        }) {
             assertEquals("", seen.header(name), name);
         }
     }
@@ -147,7 +148,7 @@
         RawCaller.Answer answer = ask(gateway, "POST", "/once/x", "", "{}");
         assertEquals(500, answer.status());
         assertEquals("no", answer.body());
-        assertEquals("seal-of-s-1", answer.header(PlatformNames.SEAL));
+        assertEquals("seal-of-s-1", answer.header(PlatformNames.SERVER_SEAL));
     }
 
     /**
@@ -187,8 +188,8 @@
                     caller.exchange(RawCaller.request("GET", "/safe/x", "first", "", ""))
                             .body());
             server.script((standin, request, connection) -> {
-                connection.write("HTTP/1.1 200 OK\r\n" + PlatformNames.ATTEMPT_ID + ": first\r\n" + PlatformNames.SEAL
-                        + ": s\r\nContent-Length: 3\r\n\r\none");
+                connection.write("HTTP/1.1 200 OK\r\n" + PlatformNames.ATTEMPT_ID + ": first\r\n"
+                        + PlatformNames.SERVER_SEAL + ": s\r\nContent-Length: 3\r\n\r\none");
                 connection.answer(200, standin.headers(request), "two");
             });
             assertEquals(
@@ -208,7 +209,7 @@
         GatewayDaemon gateway = scene.gateway();
         RawCaller.Answer answer = ask(gateway, "POST", "/once/x", "", "{}");
         assertEquals(502, answer.status());
-        assertEquals("", answer.header(PlatformNames.SEAL));
+        assertEquals("", answer.header(PlatformNames.SERVER_SEAL));
     }
 
     @Test
@@ -245,7 +246,7 @@
         }
         assertFalse(cutting.seen().isEmpty());
         assertTrue(sound.seen().stream()
-                .anyMatch(request -> request.header(PlatformNames.LAST_EVENT).equals("3")));
+                .anyMatch(request -> request.header(PlatformNames.LAST_EVENT_ID).equals("3")));
     }
 
     /**
@@ -292,8 +293,8 @@
     void aRequestIsAnsweredAtItsRoutesTimeoutThoughTheCallerWouldWaitLonger() throws IOException {
         scene.platform
                 .routes()
-                .forEach(route ->
-                        ((com.fasterxml.jackson.databind.node.ObjectNode) route).put(PlatformNames.TIMEOUT, 300));
+                .forEach(route -> ((com.fasterxml.jackson.databind.node.ObjectNode) route)
+                        .put(PlatformNames.TIMEOUT_MILLIS, 300));
         scene.platform.publish();
         CountDownLatch never = new CountDownLatch(1);
         scene.server("s-1", "plain", (server, request, connection) -> never.await());
@@ -322,7 +323,7 @@
         ServerStandin other = ServerStandin.start("s-new", ServerStandin.plain(200, "wrong"));
         ServerStandin old = ServerStandin.start("s-old", ServerStandin.plain(200, "x"));
         scene.store.put(
-                PlatformNames.SERVERS + "s-old",
+                PlatformNames.SERVERS_PREFIX + "s-old",
                 "{\"service\":\"plain\",\"address\":\"127.0.0.1:"
                         + other.address().getPort() + "\",\"zone\":\"north\",\"slots\":4,\"state\":\"ready\"}");
         GatewayDaemon gateway = scene.gateway();
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayTraceTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayTraceTest.java
@@ -34,12 +34,12 @@
         scene = new RelayScene();
         scene.platform.service("plain", 0);
         scene.platform.service("model", 8);
-        scene.platform.route("/once/", "unsafe", "plain").put(PlatformNames.MOST_ATTEMPTS, 1);
+        scene.platform.route("/once/", "unsafe", "plain").put(PlatformNames.MAX_ATTEMPTS, 1);
         scene.platform.route("/safe/", "safe", "plain");
         scene.platform
                 .route("/ask/", "streaming", "model")
                 .put("priority", 0)
-                .put(PlatformNames.TARGET, URGENT_TARGET_MILLIS);
+                .put(PlatformNames.TARGET_LATENCY_MILLIS, URGENT_TARGET_MILLIS);
         scene.platform.route("/plan/", "streaming", "model").put("priority", 3);
         scene.platform.workspace("coop", "key-1");
         scene.platform.publish();
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RequestThatEndsServersTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RequestThatEndsServersTest.java
@@ -51,7 +51,7 @@
     void setUp() {
         scene = new RelayScene();
         scene.platform.service("model", 8);
-        scene.platform.route("/ask/", "streaming", "model").put(PlatformNames.MOST_ATTEMPTS, 1);
+        scene.platform.route("/ask/", "streaming", "model").put(PlatformNames.MAX_ATTEMPTS, 1);
         scene.platform.route("/again/", "streaming", "model").put(PlatformNames.RESUMABLE, true);
         scene.platform.workspace("coop", "key-1");
         scene.platform.publish();
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/ServersWordTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/ServersWordTest.java
@@ -29,7 +29,7 @@
  * </pre>
  */
 class ServersWordTest {
-    private static final String LEAVING = PlatformNames.LEAVING + ": 1\r\n";
+    private static final String LEAVING = PlatformNames.SERVER_LEAVING + ": 1\r\n";
     private static final int REQUESTS = 20;
 
     private RelayScene scene;
@@ -41,7 +41,7 @@
         scene.platform.service("plain", 0);
         scene.platform.service("model", 8);
         scene.platform.route("/safe/", "safe", "plain");
-        scene.platform.route("/once/", "unsafe", "plain").put(PlatformNames.MOST_ATTEMPTS, 1);
+        scene.platform.route("/once/", "unsafe", "plain").put(PlatformNames.MAX_ATTEMPTS, 1);
         scene.platform.route("/stream/", "streaming", "model").put(PlatformNames.RESUMABLE, true);
         scene.platform.workspace("coop", "key-1");
         scene.platform.publish();
@@ -122,8 +122,8 @@
 
     /** Waits until the gateway has asked for the servers twice; once in the meantime it may have asked for its peers. */
     private void awaitServersRead() {
-        int calls = scene.store.calls(PlatformNames.RANGE_CALL);
-        RelayScene.await(() -> scene.store.calls(PlatformNames.RANGE_CALL) > calls + 2);
+        int calls = scene.store.calls(PlatformNames.RANGE_PATH);
+        RelayScene.await(() -> scene.store.calls(PlatformNames.RANGE_PATH) > calls + 2);
     }
 
     @Test
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/UsageReportsTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/UsageReportsTest.java
@@ -32,7 +32,7 @@
     void setUp() {
         scene.platform.service("plain", 0);
         scene.platform.service("model", 8);
-        scene.platform.route("/safe/", "safe", "plain").put(PlatformNames.MOST_ATTEMPTS, 1);
+        scene.platform.route("/safe/", "safe", "plain").put(PlatformNames.MAX_ATTEMPTS, 1);
         scene.platform.route("/stream/", "streaming", "model");
         scene.platform.service("others", 0);
         scene.platform.route("/others/", "safe", "others");
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/DutyStandin.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/DutyStandin.java
@@ -77,7 +77,7 @@
     }
 
     private int take(RawServer.Request request) throws IOException {
-        if (!request.path().equals(PlatformNames.USAGE_CALL)) {
+        if (!request.path().equals(PlatformNames.USAGE_PATH)) {
             return 404;
         }
         long token = Long.parseLong(request.header(PlatformNames.FENCING_TOKEN));
@@ -93,7 +93,7 @@
         reports.add(new Report(
                 request.header(PlatformNames.DUTY_HOLDER),
                 token,
-                body.path(PlatformNames.WINDOW).asLong(),
+                body.path(PlatformNames.WINDOW_ID).asLong(),
                 counts));
         return 200;
     }
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/GatewayScene.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/GatewayScene.java
@@ -94,7 +94,7 @@
 
     /** Waits until a gateway is ready; fails if it doesn't become so. */
     void awaitReady(Doors doors) throws IOException, InterruptedException {
-        URI readiness = URI.create("http://127.0.0.1:" + doors.status() + PlatformNames.READINESS);
+        URI readiness = URI.create("http://127.0.0.1:" + doors.status() + PlatformNames.READINESS_PATH);
         long until = System.nanoTime() + LONGEST_START.toNanos();
         while (!ready(readiness)) {
             if (System.nanoTime() - until > 0) {
@@ -126,8 +126,8 @@
                 .header(PlatformNames.ATTEMPT_ID, id)
                 .header(PlatformNames.DEADLINE, "4000")
                 .header(PlatformNames.MODEL, "m")
-                .header(PlatformNames.TOKENS, "3000,80")
-                .header(PlatformNames.PARTS, parts)
+                .header(PlatformNames.TOKEN_COUNT, "3000,80")
+                .header(PlatformNames.PROMPT_PREFIX, parts)
                 .POST(HttpRequest.BodyPublishers.ofString("{}"))
                 .build();
         try {
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/PlatformScene.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/PlatformScene.java
@@ -20,10 +20,10 @@
     private PlatformScene(StoreStandin store) {
         this.store = store;
         config.putObject("limits")
-                .put(PlatformNames.HEADER_BYTES, 16_384)
-                .put(PlatformNames.BODY_BYTES, 4 << 20)
-                .put(PlatformNames.HEADER_TIMEOUT, 3_000)
-                .put(PlatformNames.IDLE_TIMEOUT, 15_000);
+                .put(PlatformNames.MAX_HEADER_BYTES, 16_384)
+                .put(PlatformNames.MAX_BODY_BYTES, 4 << 20)
+                .put(PlatformNames.HEADER_TIMEOUT_MILLIS, 3_000)
+                .put(PlatformNames.IDLE_TIMEOUT_MILLIS, 15_000);
     }
 
     /** Returns a scene without routes; {@link #publish()} writes it. */
@@ -40,32 +40,32 @@
     public ObjectNode route(String prefix, String kind, String service) {
         return routes.addObject()
                 .put("name", "r" + routes.size())
-                .put(PlatformNames.HOST, host)
+                .put(PlatformNames.HOSTNAME, host)
                 .put("prefix", prefix)
-                .put(PlatformNames.KIND, kind)
-                .put(PlatformNames.TIMEOUT, 5_000)
-                .put(PlatformNames.TARGET, 300)
+                .put(PlatformNames.ROUTE_TYPE, kind)
+                .put(PlatformNames.TIMEOUT_MILLIS, 5_000)
+                .put(PlatformNames.TARGET_LATENCY_MILLIS, 300)
                 .put("priority", 1)
                 .put("service", service)
-                .put(PlatformNames.MOST_ATTEMPTS, 2)
-                .put(PlatformNames.OPEN, false)
-                .put(PlatformNames.PROMPTS, kind.equals("streaming"))
+                .put(PlatformNames.MAX_ATTEMPTS, 2)
+                .put(PlatformNames.PUBLIC, false)
+                .put(PlatformNames.STICKY, kind.equals("streaming"))
                 .put(PlatformNames.RESUMABLE, false)
-                .put(PlatformNames.GAP, 120);
+                .put(PlatformNames.TARGET_GAP_MILLIS, 120);
     }
 
     /** Adds a service; model engines have slots and memory. */
     public ObjectNode service(String name, int slots) {
-        ObjectNode service = services.addObject().put("name", name).put(PlatformNames.MOST_CONNECTIONS, 300);
+        ObjectNode service = services.addObject().put("name", name).put(PlatformNames.MAX_CONNECTIONS, 300);
         if (slots > 0) {
-            service.putObject("engine").put("slots", slots).put(PlatformNames.MEMORY, 300_000);
+            service.putObject("engine").put("slots", slots).put(PlatformNames.KV_CAPACITY_TOKENS, 300_000);
         }
         return service;
     }
 
     /** Adds a workspace with a key. */
     public void workspace(String name, String key) {
-        tenants.addObject().put("name", name).putArray(PlatformNames.KEYS).add(key);
+        tenants.addObject().put("name", name).putArray(PlatformNames.API_KEYS).add(key);
     }
 
     /** Takes a workspace away. */
@@ -91,14 +91,14 @@
         ObjectNode entry = JSON.createObjectNode()
                 .put("service", service)
                 .put("address", "127.0.0.1:" + server.address().getPort())
-                .put(PlatformNames.DOMAIN, "north")
+                .put(PlatformNames.ZONE, "north")
                 .put("slots", 8)
                 .put("state", state);
-        store.put(PlatformNames.SERVERS + server.id(), entry.toString());
+        store.put(PlatformNames.SERVERS_PREFIX + server.id(), entry.toString());
     }
 
     /** Removes a server's registration. */
     public void unregister(ServerStandin server) {
-        store.remove(PlatformNames.SERVERS + server.id());
+        store.remove(PlatformNames.SERVERS_PREFIX + server.id());
     }
 }
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/ServerStandin.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/ServerStandin.java
@@ -66,7 +66,7 @@
             throws IOException, InterruptedException {
         String meant = request.header(PlatformNames.EXPECT_INSTANCE);
         if (!meant.isEmpty() && !meant.equals(id)) {
-            connection.answer(421, PlatformNames.INSTANCE + ": " + id + "\r\n", "");
+            connection.answer(421, PlatformNames.INSTANCE_ID + ": " + id + "\r\n", "");
             return;
         }
         seen.add(request);
@@ -80,7 +80,7 @@
 
     /** Returns the header lines of an answer of this server to a request. */
     public String headers(RawServer.Request request) {
-        return PlatformNames.ATTEMPT_ID + ": " + request.header(PlatformNames.ATTEMPT_ID) + "\r\n" + PlatformNames.SEAL
+        return PlatformNames.ATTEMPT_ID + ": " + request.header(PlatformNames.ATTEMPT_ID) + "\r\n" + PlatformNames.SERVER_SEAL
                 + ": seal-of-" + id + "\r\n";
     }
 
@@ -138,7 +138,7 @@
     }
 
     private static int firstEvent(RawServer.Request request) {
-        String last = request.header(PlatformNames.LAST_EVENT);
+        String last = request.header(PlatformNames.LAST_EVENT_ID);
         return last.isEmpty() ? 1 : Integer.parseInt(last) + 1;
     }
 
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/StoreStandin.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/StoreStandin.java
@@ -191,20 +191,20 @@
     private Reply reply(RawServer.Request request) throws IOException, InterruptedException {
         expire();
         String path = request.path();
-        if (path.startsWith(PlatformNames.END_LEASE_CALL)) {
-            leases.put(Long.parseLong(path.substring(PlatformNames.END_LEASE_CALL.length())), System.nanoTime() - 1);
+        if (path.startsWith(PlatformNames.LEASE_REVOCATION_PATH)) {
+            leases.put(Long.parseLong(path.substring(PlatformNames.LEASE_REVOCATION_PATH.length())), System.nanoTime() - 1);
             expire();
             return new Reply(200, "{}");
         }
-        if (path.startsWith(PlatformNames.KEEP_CALL)) {
-            return keep(Long.parseLong(path.substring(PlatformNames.KEEP_CALL.length())));
+        if (path.startsWith(PlatformNames.LEASE_RENEWAL_PATH)) {
+            return keep(Long.parseLong(path.substring(PlatformNames.LEASE_RENEWAL_PATH.length())));
         }
         return switch (path) {
-            case PlatformNames.KEY_CALL -> key(request.parameter("key"));
-            case PlatformNames.RANGE_CALL -> range(request.parameter("prefix"), request.parameter("after"));
-            case PlatformNames.WATCH_CALL -> watch(request);
-            case PlatformNames.WRITE_CALL -> write(JSON.readTree(request.body()));
-            case PlatformNames.LEASE_CALL -> lease(JSON.readTree(request.body()));
+            case PlatformNames.KEY_PATH -> key(request.parameter("key"));
+            case PlatformNames.RANGE_PATH -> range(request.parameter("prefix"), request.parameter("after"));
+            case PlatformNames.WATCH_PATH -> watch(request);
+            case PlatformNames.TRANSACTION_PATH -> write(JSON.readTree(request.body()));
+            case PlatformNames.LEASE_GRANT_PATH -> lease(JSON.readTree(request.body()));
             default -> new Reply(404, "{}");
         };
     }
@@ -238,7 +238,7 @@
     private Reply watch(RawServer.Request request) throws InterruptedException {
         long after = Long.parseLong(request.parameter("after"));
         long until = System.nanoTime()
-                + TimeUnit.MILLISECONDS.toNanos(Long.parseLong(request.parameter(PlatformNames.WAIT)));
+                + TimeUnit.MILLISECONDS.toNanos(Long.parseLong(request.parameter(PlatformNames.WAIT_MILLIS)));
         Mood begun = mood;
         while (mood == begun) {
             if (after < forgotten) {
@@ -265,7 +265,7 @@
         ObjectNode conflict = JSON.createObjectNode();
         ArrayNode current = conflict.putArray("items");
         boolean held = true;
-        for (JsonNode row : call.path(PlatformNames.EXPECTATIONS)) {
+        for (JsonNode row : call.path(PlatformNames.EXPECTED_REVISIONS)) {
             Item item = items.get(row.path("key").asText());
             held &= row.path("revision").asLong() == (item == null ? 0 : item.revision());
             if (item != null) {
@@ -293,10 +293,10 @@
     }
 
     private Reply lease(JsonNode call) {
-        long ttl = call.path(PlatformNames.TIME_TO_LIVE).asLong();
+        long ttl = call.path(PlatformNames.TTL_MILLIS).asLong();
         leases.put(++nextLease, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ttl));
         leaseMillis.put(nextLease, ttl);
-        ObjectNode body = JSON.createObjectNode().put("lease", nextLease).put(PlatformNames.TIME_TO_LIVE, ttl);
+        ObjectNode body = JSON.createObjectNode().put("lease", nextLease).put(PlatformNames.TTL_MILLIS, ttl);
         return new Reply(200, body.toString());
     }
 
--- a/wire/src/main/java/org/tanagerhinge/wire/FrameDecoder.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/FrameDecoder.java
@@ -29,19 +29,19 @@
     /** Returns the message in a packet. */
     public static Frame decode(Packet packet) throws MalformedFrameException {
         try {
-            return decodeChecked(packet);
+            return decodeBody(packet);
         } catch (IllegalArgumentException | InvalidConfigException | IndexOutOfBoundsException e) {
             throw new MalformedFrameException("malformed " + packet.getBodyCase() + ": " + e.getMessage(), e);
         }
     }
 
-    private static Frame decodeChecked(Packet packet) throws InvalidConfigException {
+    private static Frame decodeBody(Packet packet) throws InvalidConfigException {
         return switch (packet.getBodyCase()) {
-            case SUBMIT -> submit(packet.getSubmit());
+            case SUBMIT -> decodeSubmit(packet.getSubmit());
             case ATTACH ->
                 new Frame.Attach(
                         packet.getAttach().getAttempt(),
-                        execution(packet.getAttach().getExecution()),
+                        decodeExecution(packet.getAttach().getExecution()),
                         packet.getAttach().getIncarnation());
             case CANCEL ->
                 new Frame.Cancel(
@@ -67,20 +67,20 @@
                         packet.getDone().getAttempt(),
                         packet.getDone().getTotalUnits(),
                         packet.getDone().getFinishReason(),
-                        load(packet.getDone().getLoad()));
+                        decodeLoad(packet.getDone().getLoad()));
             case NOT_RUN ->
                 new Frame.NotRun(
                         packet.getNotRun().getAttempt(),
-                        code(packet.getNotRun().getCode()),
+                        decodeResultCode(packet.getNotRun().getCode()),
                         Duration.ofMillis(packet.getNotRun().getRetryAfterMillis()),
-                        load(packet.getNotRun().getLoad()));
+                        decodeLoad(packet.getNotRun().getLoad()));
             case FAILED ->
                 new Frame.Failed(
                         packet.getFailed().getAttempt(),
-                        code(packet.getFailed().getCode()),
+                        decodeResultCode(packet.getFailed().getCode()),
                         packet.getFailed().getDetail(),
-                        load(packet.getFailed().getLoad()));
-            case LOAD -> new Frame.LoadReport(load(packet.getLoad()));
+                        decodeLoad(packet.getFailed().getLoad()));
+            case LOAD -> new Frame.LoadReport(decodeLoad(packet.getLoad()));
             case HEARTBEAT ->
                 new Frame.Heartbeat(ConfigRevision.of(
                         packet.getHeartbeat().getProfiles(),
@@ -94,7 +94,7 @@
         };
     }
 
-    private static Frame.Submit submit(Submit submit) {
+    private static Frame.Submit decodeSubmit(Submit submit) {
         SchedulingParameters terms = new SchedulingParameters(
                 submit.getTier(),
                 submit.getSharePercent(),
@@ -118,17 +118,17 @@
                 RequestId.of(submit.getRequest()),
                 work,
                 Duration.ofMillis(submit.getTimeLeftMillis()),
-                submit.hasExecution() ? Optional.of(execution(submit.getExecution())) : Optional.empty(),
+                submit.hasExecution() ? Optional.of(decodeExecution(submit.getExecution())) : Optional.empty(),
                 submit.getResumeText(),
                 submit.getResumeFrom(),
                 submit.getExpectedUnits());
     }
 
-    private static Execution execution(org.tanagerhinge.wire.proto.Execution execution) {
+    private static Execution decodeExecution(org.tanagerhinge.wire.proto.Execution execution) {
         return Execution.of(new KeyDigest(execution.getDigest()), execution.getGeneration());
     }
 
-    private static AgentLoad load(LoadState load) {
+    private static AgentLoad decodeLoad(LoadState load) {
         return new AgentLoad(
                 load.getInFlight(),
                 load.getLimit(),
@@ -140,7 +140,7 @@
                 load.getAccepting());
     }
 
-    private static ResultCode code(int number) {
+    private static ResultCode decodeResultCode(int number) {
         return ResultCode.ofNumber(number)
                 .orElseThrow(() -> new IllegalArgumentException("result code " + number + " is not known"));
     }
--- a/wire/src/main/java/org/tanagerhinge/wire/FrameEncoder.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/FrameEncoder.java
@@ -32,11 +32,11 @@
     public static Packet encode(Frame frame) {
         Packet.Builder packet = Packet.newBuilder();
         switch (frame) {
-            case Frame.Submit submit -> packet.setSubmit(submit(submit));
+            case Frame.Submit submit -> packet.setSubmit(encodeSubmit(submit));
             case Frame.Attach attach ->
                 packet.setAttach(Attach.newBuilder()
                         .setAttempt(attach.attempt())
-                        .setExecution(execution(attach.execution()))
+                        .setExecution(encodeExecution(attach.execution()))
                         .setIncarnation(attach.incarnation()));
             case Frame.Cancel cancel ->
                 packet.setCancel(
@@ -44,8 +44,8 @@
             case Frame.Credit credit ->
                 packet.setCredit(
                         Credit.newBuilder().setAttempt(credit.attempt()).setUnits(credit.units()));
-            case Frame.Queued queued -> packet.setQueued(attempt(queued.attempt()));
-            case Frame.Started started -> packet.setStarted(attempt(started.attempt()));
+            case Frame.Queued queued -> packet.setQueued(encodeAttempt(queued.attempt()));
+            case Frame.Started started -> packet.setStarted(encodeAttempt(started.attempt()));
             case Frame.Head head ->
                 packet.setHead(Head.newBuilder()
                         .setAttempt(head.attempt())
@@ -56,26 +56,26 @@
                         .setAttempt(chunk.attempt())
                         .setOffset(chunk.offsetUnits())
                         .setUnits(chunk.units())
-                        .setData(bytes(chunk.data())));
+                        .setData(wrapBytes(chunk.data())));
             case Frame.Done done ->
                 packet.setDone(Done.newBuilder()
                         .setAttempt(done.attempt())
                         .setTotalUnits(done.totalUnits())
                         .setFinishReason(done.finishReason())
-                        .setLoad(load(done.load())));
+                        .setLoad(encodeLoad(done.load())));
             case Frame.NotRun notRun ->
                 packet.setNotRun(NotRun.newBuilder()
                         .setAttempt(notRun.attempt())
                         .setCode(notRun.code().number())
                         .setRetryAfterMillis(notRun.retryAfter().toMillis())
-                        .setLoad(load(notRun.load())));
+                        .setLoad(encodeLoad(notRun.load())));
             case Frame.Failed failed ->
                 packet.setFailed(Failed.newBuilder()
                         .setAttempt(failed.attempt())
                         .setCode(failed.code().number())
                         .setDetail(failed.detail())
-                        .setLoad(load(failed.load())));
-            case Frame.LoadReport report -> packet.setLoad(load(report.load()));
+                        .setLoad(encodeLoad(failed.load())));
+            case Frame.LoadReport report -> packet.setLoad(encodeLoad(report.load()));
             case Frame.Heartbeat heartbeat ->
                 packet.setHeartbeat(Revision.newBuilder()
                         .setProfiles(heartbeat.revision().profiles())
@@ -89,7 +89,7 @@
         return packet.build();
     }
 
-    private static Submit submit(Frame.Submit frame) {
+    private static Submit encodeSubmit(Frame.Submit frame) {
         WorkItem work = frame.work();
         Submit.Builder submit = Submit.newBuilder()
                 .setAttempt(frame.attempt())
@@ -108,26 +108,26 @@
                 .setResumeText(frame.resumeText())
                 .setResumeFrom(frame.resumeFromUnits())
                 .setExpectedUnits(frame.expectedUnits())
-                .setBody(bytes(work.call().body()));
-        frame.execution().ifPresent(execution -> submit.setExecution(execution(execution)));
+                .setBody(wrapBytes(work.call().body()));
+        frame.execution().ifPresent(execution -> submit.setExecution(encodeExecution(execution)));
         if (work.call() instanceof BackendCall.ServiceCall call) {
             submit.setMethod(call.method()).setPath(call.path()).setContentType(call.contentType());
         }
         return submit.build();
     }
 
-    private static org.tanagerhinge.wire.proto.Execution execution(Execution execution) {
+    private static org.tanagerhinge.wire.proto.Execution encodeExecution(Execution execution) {
         return org.tanagerhinge.wire.proto.Execution.newBuilder()
                 .setDigest(execution.digest().hex())
                 .setGeneration(execution.generation())
                 .build();
     }
 
-    private static Attempt attempt(long number) {
+    private static Attempt encodeAttempt(long number) {
         return Attempt.newBuilder().setAttempt(number).build();
     }
 
-    private static LoadState load(AgentLoad load) {
+    private static LoadState encodeLoad(AgentLoad load) {
         return LoadState.newBuilder()
                 .setInFlight(load.inFlight())
                 .setLimit(load.concurrencyLimit())
@@ -140,7 +140,7 @@
                 .build();
     }
 
-    private static ByteString bytes(byte[] data) {
+    private static ByteString wrapBytes(byte[] data) {
         return UnsafeByteOperations.unsafeWrap(data);
     }
 }
--- a/wire/src/main/java/org/tanagerhinge/wire/LinkClient.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/LinkClient.java
@@ -15,20 +15,20 @@
 /** A router's side of one connection: connects to an agent, and again whenever the connection is lost, until closed. */
 public final class LinkClient implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MILLIS = 1500;
-    private static final long FIRST_PAUSE_MILLIS = 50;
-    private static final long MOST_PAUSE_MILLIS = 1000;
+    private static final long INITIAL_BACKOFF_MILLIS = 50;
+    private static final long MAX_BACKOFF_MILLIS = 1000;
 
     private final EventLoopGroup group;
     private final InetSocketAddress address;
-    private final LinkPipeline pipeline;
+    private final LinkInitializer initializer;
     private volatile boolean closed;
     private volatile Channel channel;
-    private volatile long pauseMillis = FIRST_PAUSE_MILLIS;
+    private volatile long backoffMillis = INITIAL_BACKOFF_MILLIS;
 
-    private LinkClient(EventLoopGroup group, InetSocketAddress address, LinkPipeline pipeline) {
+    private LinkClient(EventLoopGroup group, InetSocketAddress address, LinkInitializer initializer) {
         this.group = group;
         this.address = address;
-        this.pipeline = pipeline;
+        this.initializer = initializer;
     }
 
     /**
@@ -43,11 +43,11 @@
             String agentName,
             Peer self,
             SharedSecret secret,
-            Duration idle,
+            Duration idleTimeout,
             LinkListener listener) {
-        LinkPipeline pipeline = new LinkPipeline(
-                () -> new LinkHandler(self, Peer.Role.AGENT, Optional.of(agentName), secret, listener), idle);
-        LinkClient client = new LinkClient(group, address, pipeline);
+        LinkInitializer initializer = new LinkInitializer(
+                () -> new LinkHandler(self, Peer.Role.AGENT, Optional.of(agentName), secret, listener), idleTimeout);
+        LinkClient client = new LinkClient(group, address, initializer);
         client.connect();
         return client;
     }
@@ -56,34 +56,34 @@
         if (closed || group.isShuttingDown()) {
             return;
         }
-        ChannelFuture connecting = new Bootstrap()
+        ChannelFuture connectFuture = new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
-                .handler(pipeline.copy())
+                .handler(initializer.copy())
                 .connect(address);
-        channel = connecting.channel();
-        connecting.addListener(done -> {
-            if (connecting.isSuccess()) {
-                pauseMillis = FIRST_PAUSE_MILLIS;
+        channel = connectFuture.channel();
+        connectFuture.addListener(completed -> {
+            if (connectFuture.isSuccess()) {
+                backoffMillis = INITIAL_BACKOFF_MILLIS;
                 if (closed) {
-                    connecting.channel().close();
+                    connectFuture.channel().close();
                 }
-                connecting.channel().closeFuture().addListener(gone -> connectLater());
+                connectFuture.channel().closeFuture().addListener(disconnected -> scheduleReconnect());
             } else {
-                connectLater();
+                scheduleReconnect();
             }
         });
     }
 
     /** Waits a little longer after each failure, with jitter, so that a replaced agent is not met by all at once. */
-    private void connectLater() {
+    private void scheduleReconnect() {
         if (closed || group.isShuttingDown()) {
             return;
         }
-        long pause = pauseMillis / 2 + ThreadLocalRandom.current().nextLong(pauseMillis);
-        pauseMillis = Math.min(MOST_PAUSE_MILLIS, pauseMillis * 2);
-        group.schedule(this::connect, pause, TimeUnit.MILLISECONDS);
+        long delayMillis = backoffMillis / 2 + ThreadLocalRandom.current().nextLong(backoffMillis);
+        backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
+        group.schedule(this::connect, delayMillis, TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/wire/src/main/java/org/tanagerhinge/wire/LinkHandler.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/LinkHandler.java
@@ -18,18 +18,18 @@
  * its connections open, and requests would wait for it for ever.
  */
 final class LinkHandler extends SimpleChannelInboundHandler<Packet> implements Link {
-    private static final int VERSION = 1;
+    private static final int PROTOCOL_VERSION = 1;
 
     private final Peer self;
     private final Peer.Role expectedRole;
     private final Optional<String> expectedName;
     private final SharedSecret secret;
     private final LinkListener listener;
-    private final byte[] nonce = SharedSecret.nonce();
+    private final byte[] nonce = SharedSecret.newNonce();
     private volatile ChannelHandlerContext context;
     private volatile Peer peer;
     private byte[] peerNonce;
-    private boolean up;
+    private boolean authenticated;
 
     LinkHandler(
             Peer self,
@@ -52,67 +52,67 @@
                 .setName(self.name())
                 .setIncarnation(self.incarnation())
                 .setNonce(ByteString.copyFrom(nonce))
-                .setVersion(VERSION)
+                .setVersion(PROTOCOL_VERSION)
                 .build();
         ctx.writeAndFlush(Packet.newBuilder().setHello(hello).build());
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Packet packet) {
-        if (up) {
-            pass(ctx, packet);
+        if (authenticated) {
+            deliverFrame(ctx, packet);
         } else if (packet.hasHello() && peer == null) {
-            greet(ctx, packet.getHello());
+            handleHello(ctx, packet.getHello());
         } else if (packet.hasProof() && peer != null) {
-            admit(ctx, packet.getProof());
+            handleProof(ctx, packet.getProof());
         } else {
-            refuse(ctx, "handshake_order");
+            reject(ctx, "handshake_order");
         }
     }
 
-    private void pass(ChannelHandlerContext ctx, Packet packet) {
+    private void deliverFrame(ChannelHandlerContext ctx, Packet packet) {
         try {
             listener.onFrame(this, FrameDecoder.decode(packet));
         } catch (MalformedFrameException e) {
-            refuse(ctx, "malformed_frame");
+            reject(ctx, "malformed_frame");
         }
     }
 
-    private void greet(ChannelHandlerContext ctx, Hello hello) {
+    private void handleHello(ChannelHandlerContext ctx, Hello hello) {
         boolean expected = hello.getRole().equals(expectedRole.name())
                 && expectedName.map(hello.getName()::equals).orElse(true)
-                && hello.getVersion() == VERSION
+                && hello.getVersion() == PROTOCOL_VERSION
                 && hello.getNonce().size() == nonce.length;
         if (!expected) {
-            refuse(ctx, "unexpected_peer");
+            reject(ctx, "unexpected_peer");
             return;
         }
         peer = new Peer(expectedRole, hello.getName(), hello.getIncarnation());
         peerNonce = hello.getNonce().toByteArray();
-        byte[] mac = secret.prove(self, nonce, peerNonce);
+        byte[] mac = secret.computeProof(self, nonce, peerNonce);
         ctx.writeAndFlush(Packet.newBuilder()
                 .setProof(Proof.newBuilder().setMac(ByteString.copyFrom(mac)))
                 .build());
     }
 
-    private void admit(ChannelHandlerContext ctx, Proof proof) {
-        if (!secret.proven(proof.getMac().toByteArray(), peer, peerNonce, nonce)) {
-            refuse(ctx, "wrong_secret");
+    private void handleProof(ChannelHandlerContext ctx, Proof proof) {
+        if (!secret.isValidProof(proof.getMac().toByteArray(), peer, peerNonce, nonce)) {
+            reject(ctx, "wrong_secret");
             return;
         }
-        up = true;
+        authenticated = true;
         listener.onUp(this);
     }
 
-    private void refuse(ChannelHandlerContext ctx, String reason) {
+    private void reject(ChannelHandlerContext ctx, String reason) {
         listener.onRefused(reason);
         ctx.close();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (up) {
-            up = false;
+        if (authenticated) {
+            authenticated = false;
             listener.onDown(this);
         }
     }
@@ -141,7 +141,7 @@
         if (!ctx.channel().isWritable()) {
             // The peer does not read. Queueing for it without bound would end this process; losing the link is the
             // failure that both ends know how to handle.
-            refuse(ctx, "peer_not_reading");
+            reject(ctx, "peer_not_reading");
             return;
         }
         ctx.writeAndFlush(FrameEncoder.encode(frame));
--- a/wire/src/main/java/org/tanagerhinge/wire/LinkPipeline.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/LinkInitializer.java
@@ -16,37 +16,39 @@
 import org.tanagerhinge.wire.proto.Packet;
 
 /** Builds the handlers of a connection: length-prefixed protobuf packets of a bounded size. */
-final class LinkPipeline extends ChannelInitializer<Channel> {
+final class LinkInitializer extends ChannelInitializer<Channel> {
     private static final int LENGTH_BYTES = 4;
-    private static final int MOST_PACKET_BYTES = 32 << 20;
-    private static final int LOW_WATER = 8 << 20;
-    private static final int HIGH_WATER = 48 << 20;
+    private static final int MAX_PACKET_BYTES = 32 << 20;
+    private static final int LOW_WATERMARK_BYTES = 8 << 20;
+    private static final int HIGH_WATERMARK_BYTES = 48 << 20;
 
-    private final Supplier<LinkHandler> handlers;
-    private final Duration idle;
+    private final Supplier<LinkHandler> handlerFactory;
+    private final Duration idleTimeout;
 
-    LinkPipeline(Supplier<LinkHandler> handlers, Duration idle) {
-        this.handlers = handlers;
-        this.idle = idle;
+    LinkInitializer(Supplier<LinkHandler> handlerFactory, Duration idleTimeout) {
+        this.handlerFactory = handlerFactory;
+        this.idleTimeout = idleTimeout;
     }
 
     /** Returns an initializer for one more connection. */
-    LinkPipeline copy() {
-        return new LinkPipeline(handlers, idle);
+    LinkInitializer copy() {
+        return new LinkInitializer(handlerFactory, idleTimeout);
     }
 
     @Override
     protected void initChannel(Channel channel) {
         channel.config().setOption(ChannelOption.TCP_NODELAY, true);
         channel.config()
-                .setOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(LOW_WATER, HIGH_WATER));
+                .setOption(
+                        ChannelOption.WRITE_BUFFER_WATER_MARK,
+                        new WriteBufferWaterMark(LOW_WATERMARK_BYTES, HIGH_WATERMARK_BYTES));
         channel.pipeline()
                 .addLast(new FlushConsolidationHandler(64, true))
-                .addLast(new IdleStateHandler(idle.toMillis(), 0, 0, TimeUnit.MILLISECONDS))
-                .addLast(new LengthFieldBasedFrameDecoder(MOST_PACKET_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
+                .addLast(new IdleStateHandler(idleTimeout.toMillis(), 0, 0, TimeUnit.MILLISECONDS))
+                .addLast(new LengthFieldBasedFrameDecoder(MAX_PACKET_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
                 .addLast(new LengthFieldPrepender(LENGTH_BYTES))
                 .addLast(new ProtobufDecoder(Packet.getDefaultInstance()))
                 .addLast(new ProtobufEncoder())
-                .addLast(handlers.get());
+                .addLast(handlerFactory.get());
     }
 }
--- a/wire/src/main/java/org/tanagerhinge/wire/LinkServer.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/LinkServer.java
@@ -36,12 +36,12 @@
             InetSocketAddress address,
             Peer self,
             SharedSecret secret,
-            Duration idle,
+            Duration idleTimeout,
             LinkListener listener)
-            throws LinkException {
+            throws LinkBindException {
         ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-        LinkPipeline pipeline = new LinkPipeline(
-                () -> new LinkHandler(self, Peer.Role.ROUTER, Optional.empty(), secret, listener), idle);
+        LinkInitializer initializer = new LinkInitializer(
+                () -> new LinkHandler(self, Peer.Role.ROUTER, Optional.empty(), secret, listener), idleTimeout);
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -51,14 +51,14 @@
                     @Override
                     protected void initChannel(Channel accepted) {
                         connections.add(accepted);
-                        accepted.pipeline().addLast(pipeline.copy());
+                        accepted.pipeline().addLast(initializer.copy());
                     }
                 });
-        ChannelFuture bound = bootstrap.bind(address).awaitUninterruptibly();
-        if (!bound.isSuccess()) {
-            throw new LinkException("cannot listen on " + address, bound.cause());
+        ChannelFuture bindFuture = bootstrap.bind(address).awaitUninterruptibly();
+        if (!bindFuture.isSuccess()) {
+            throw new LinkBindException("cannot listen on " + address, bindFuture.cause());
         }
-        return new LinkServer(bound.channel(), connections);
+        return new LinkServer(bindFuture.channel(), connections);
     }
 
     /** Returns the port listened on. */
--- a/wire/src/main/java/org/tanagerhinge/wire/MalformedFrameException.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/MalformedFrameException.java
@@ -6,7 +6,7 @@
 public final class MalformedFrameException extends TanagerhingeException {
     private static final long serialVersionUID = 1L;
 
-    MalformedFrameException(String what, Throwable cause) {
-        super(what, cause);
+    MalformedFrameException(String message, Throwable cause) {
+        super(message, cause);
     }
 }
--- a/wire/src/main/java/org/tanagerhinge/wire/SharedSecret.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/SharedSecret.java
@@ -17,7 +17,7 @@
 public final class SharedSecret {
     private static final String ALGORITHM = "HmacSHA256";
     private static final int NONCE_BYTES = 16;
-    private static final int LEAST_LENGTH = 16;
+    private static final int MIN_LENGTH = 16;
     private static final SecureRandom RANDOM = new SecureRandom();
 
     private final byte[] secret;
@@ -32,33 +32,33 @@
      * @throws IllegalArgumentException if the text has fewer than 16 characters
      */
     public static SharedSecret of(String text) {
-        if (text.length() < LEAST_LENGTH) {
-            throw new IllegalArgumentException("expected a shared secret of " + LEAST_LENGTH + " characters or more");
+        if (text.length() < MIN_LENGTH) {
+            throw new IllegalArgumentException("expected a shared secret of " + MIN_LENGTH + " characters or more");
         }
         return new SharedSecret(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    static byte[] nonce() {
+    static byte[] newNonce() {
         byte[] nonce = new byte[NONCE_BYTES];
         RANDOM.nextBytes(nonce);
         return nonce;
     }
 
-    byte[] prove(Peer prover, byte[] proverNonce, byte[] otherNonce) {
+    byte[] computeProof(Peer prover, byte[] proverNonce, byte[] verifierNonce) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
             mac.init(new SecretKeySpec(secret, ALGORITHM));
-            String who = prover.role() + "\n" + prover.name() + "\n" + prover.incarnation() + "\n";
-            mac.update(who.getBytes(StandardCharsets.UTF_8));
+            String identity = prover.role() + "\n" + prover.name() + "\n" + prover.incarnation() + "\n";
+            mac.update(identity.getBytes(StandardCharsets.UTF_8));
             mac.update(proverNonce);
-            return mac.doFinal(otherNonce);
+            return mac.doFinal(verifierNonce);
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException("every JDK has " + ALGORITHM, e);
         }
     }
 
-    boolean proven(byte[] proof, Peer prover, byte[] proverNonce, byte[] otherNonce) {
-        return MessageDigest.isEqual(proof, prove(prover, proverNonce, otherNonce));
+    boolean isValidProof(byte[] proof, Peer prover, byte[] proverNonce, byte[] verifierNonce) {
+        return MessageDigest.isEqual(proof, computeProof(prover, proverNonce, verifierNonce));
     }
 
     @Override
--- a/wire/src/test/java/org/tanagerhinge/wire/LinkTest.java
+++ b/wire/src/test/java/org/tanagerhinge/wire/LinkTest.java
@@ -20,11 +20,11 @@
 
 /** Connections between routers and agents: mutual proof of the secret, and messages in order. */
 class LinkTest {
-    private static final Duration IDLE = Duration.ofSeconds(30);
+    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(30);
     private static final SharedSecret SECRET = SharedSecret.of("a secret of some length");
 
     /** Notes the events of connections. */
-    private static final class Recorder implements LinkListener {
+    private static final class RecordingListener implements LinkListener {
         private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
         private volatile Link link;
 
@@ -49,13 +49,13 @@
             events.add("refused " + reason);
         }
 
-        String next() throws InterruptedException {
+        String nextEvent() throws InterruptedException {
             return events.poll(20, TimeUnit.SECONDS);
         }
     }
 
-    private final Recorder agent = new Recorder();
-    private final Recorder router = new Recorder();
+    private final RecordingListener agent = new RecordingListener();
+    private final RecordingListener router = new RecordingListener();
     private EventLoopGroup group;
     private LinkServer server;
 
@@ -63,7 +63,7 @@
     void start() throws Exception {
         group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
         server = LinkServer.start(
-                group, new InetSocketAddress("127.0.0.1", 0), Peer.agent("engine-1", 7), SECRET, IDLE, agent);
+                group, new InetSocketAddress("127.0.0.1", 0), Peer.agent("engine-1", 7), SECRET, IDLE_TIMEOUT, agent);
     }
 
     @AfterEach
@@ -79,19 +79,19 @@
                 agentName,
                 Peer.router("router-1", 9),
                 SharedSecret.of(secret),
-                IDLE,
+                IDLE_TIMEOUT,
                 router);
     }
 
     @Test
-    void messagesPassOnceBothSidesAreProved() throws Exception {
+    void deliversFramesAfterMutualAuthentication() throws Exception {
         try (LinkClient client = connect("engine-1", "a secret of some length")) {
-            assertEquals("up engine-1", router.next());
-            assertEquals("up router-1", agent.next());
+            assertEquals("up engine-1", router.nextEvent());
+            assertEquals("up router-1", agent.nextEvent());
             router.link.send(new Frame.Cancel(3, true));
-            assertEquals("Cancel[attempt=3, runOn=true]", agent.next());
+            assertEquals("Cancel[attempt=3, runOn=true]", agent.nextEvent());
         }
-        assertEquals("down", agent.next());
+        assertEquals("down", agent.nextEvent());
     }
 
     /**
@@ -103,9 +103,9 @@
         "engine-1, another secret of some length, wrong_secret",
         "engine-2, a secret of some length, unexpected_peer"
     })
-    void aStrangerIsTurnedAway(String name, String secret, String reason) throws Exception {
+    void rejectsPeerWithWrongSecretOrName(String name, String secret, String reason) throws Exception {
         try (LinkClient client = connect(name, secret)) {
-            assertEquals("refused " + reason, router.next());
+            assertEquals("refused " + reason, router.nextEvent());
             assertNull(agent.link);
         }
     }
