--- a/standin/src/main/java/org/tanagerhinge/standin/relay/ServerStandin.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/ServerStandin.java
@@ -80,8 +80,8 @@
 
     /** Returns the header lines of an answer of this server to a request. */
     public String headers(RawServer.Request request) {
-        return PlatformNames.ATTEMPT_ID + ": " + request.header(PlatformNames.ATTEMPT_ID) + "\r\n" + PlatformNames.SERVER_SEAL
-                + ": seal-of-" + id + "\r\n";
+        return PlatformNames.ATTEMPT_ID + ": " + request.header(PlatformNames.ATTEMPT_ID) + "\r\n"
+                + PlatformNames.SERVER_SEAL + ": seal-of-" + id + "\r\n";
     }
 
     /** Returns a script that answers with a status and a body. */
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/StoreStandin.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/StoreStandin.java
@@ -192,7 +192,9 @@
         expire();
         String path = request.path();
         if (path.startsWith(PlatformNames.LEASE_REVOCATION_PATH)) {
-            leases.put(Long.parseLong(path.substring(PlatformNames.LEASE_REVOCATION_PATH.length())), System.nanoTime() - 1);
+            leases.put(
+                    Long.parseLong(path.substring(PlatformNames.LEASE_REVOCATION_PATH.length())),
+                    System.nanoTime() - 1);
             expire();
             return new Reply(200, "{}");
         }
