--- a/gateway/src/main/java/org/tanagerhinge/gateway/AttemptListener.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/AttemptListener.java
@@ -7,7 +7,7 @@
 /** Hears of one attempt at a backend server; after {@link #ended} or {@link #failed} nothing more is heard. */
 interface AttemptListener {
     /** The attempt's own answer has begun. */
-    void responseHead(HttpResponse response, BackendResponseMetadata terms);
+    void responseHead(HttpResponse response, BackendResponseMetadata metadata);
 
     /** More of the answer's body came; the bytes stay the caller's. */
     void responseBody(ByteBuf bytes);
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnectionPool.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnectionPool.java
@@ -35,8 +35,8 @@
     private final LongSupplier clock;
     private final Consumer<String> counter;
     private final ResponseListener responseListener;
-    private final Map<String, Deque<BackendConnection>> idle = new HashMap<>();
-    private final Map<String, Set<BackendConnection>> all = new HashMap<>();
+    private final Map<String, Deque<BackendConnection>> idleByInstance = new HashMap<>();
+    private final Map<String, Set<BackendConnection>> connectionsByInstance = new HashMap<>();
 
     BackendConnectionPool(
             EventLoopGroup loop,
@@ -78,7 +78,7 @@
      * @param mostIdle longest idle time of a connection that is wanted, in milliseconds
      */
     BackendConnection pollIdle(ServerInstance server, long maxIdleMillis) {
-        Deque<BackendConnection> connections = idle.get(server.instanceId());
+        Deque<BackendConnection> connections = idleByInstance.get(server.instanceId());
         while (connections != null && !connections.isEmpty()) {
             BackendConnection connection = connections.peekLast();
             if (connection.reusable(nowMillis(), maxIdleMillis)) {
@@ -97,7 +97,7 @@
     /** Opens a connection; {@code done} gets it, or null if none could be made. */
     void connect(ServerInstance server, Consumer<BackendConnection> onConnected) {
         BackendConnection connection = new BackendConnection(this, server);
-        all.computeIfAbsent(server.instanceId(), id -> new HashSet<>()).add(connection);
+        connectionsByInstance.computeIfAbsent(server.instanceId(), id -> new HashSet<>()).add(connection);
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -129,20 +129,20 @@
             connection.channel().close();
             return;
         }
-        idle.computeIfAbsent(connection.server().instanceId(), id -> new ArrayDeque<>())
+        idleByInstance.computeIfAbsent(connection.server().instanceId(), id -> new ArrayDeque<>())
                 .addLast(connection);
     }
 
     void connectionClosed(BackendConnection connection) {
         String instanceId = connection.server().instanceId();
-        Deque<BackendConnection> connections = idle.get(instanceId);
+        Deque<BackendConnection> connections = idleByInstance.get(instanceId);
         if (connections != null) {
             connections.remove(connection);
         }
-        Set<BackendConnection> connectionsToServer = all.get(instanceId);
+        Set<BackendConnection> connectionsToServer = connectionsByInstance.get(instanceId);
         if (connectionsToServer != null && connectionsToServer.remove(connection) && connectionsToServer.isEmpty()) {
-            all.remove(instanceId);
-            idle.remove(instanceId);
+            connectionsByInstance.remove(instanceId);
+            idleByInstance.remove(instanceId);
         }
     }
 
@@ -152,7 +152,7 @@
      * @param leaves whether a server has said that it leaves
      */
     void sweep(Predicate<ServerInstance> isLeaving) {
-        for (Deque<BackendConnection> connections : Set.copyOf(idle.values())) {
+        for (Deque<BackendConnection> connections : Set.copyOf(idleByInstance.values())) {
             for (BackendConnection connection : Set.copyOf(connections)) {
                 boolean leaving = !connection.server().available() || isLeaving.test(connection.server());
                 if (leaving || !connection.reusable(nowMillis(), MAX_IDLE_MILLIS)) {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Dialect.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Dialect.java
@@ -15,7 +15,7 @@
      *
      * @param headers the caller's headers without those of its connection; changed in place
      */
-    void prepareBackendRequest(HttpHeaders headers, BackendRequestMetadata terms);
+    void prepareBackendRequest(HttpHeaders headers, BackendRequestMetadata metadata);
 
     /** Reads what a backend server tells in its answer's head. */
     BackendResponseMetadata responseMetadata(HttpResponse response);
--- a/gateway/src/main/java/org/tanagerhinge/gateway/DutyParticipant.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/DutyParticipant.java
@@ -45,10 +45,10 @@
     private final Gateway gateway;
     private final EventLoopGroup loop;
     private final PeerSynchronizer peers;
-    private final DutyClient port;
+    private final DutyClient dutyClient;
     private final GatewayOptions.DutyOptions options;
     private final NodeClock clock;
-    private final MedianClock time;
+    private final MedianClock medianClock;
     private final DutyTelemetry telemetry;
     private final UsageCounter counter;
     private final UsageReporter reporter;
@@ -70,13 +70,13 @@
         this.gateway = gateway;
         this.loop = loop;
         this.peers = peers;
-        this.port = port;
+        this.dutyClient = port;
         this.options = options;
         this.clock = new HostClock(gateway, wallClock);
-        this.time = MedianClock.of(clock);
+        this.medianClock = MedianClock.of(clock);
         this.telemetry = new DutyTelemetry(gateway);
-        this.counter = UsageCounter.of(options.terms(), time, peers.incarnation());
-        this.reporter = UsageReporter.of(options.terms(), clock, time, ThreadLocalRandom.current(), counter);
+        this.counter = UsageCounter.of(options.settings(), medianClock, peers.incarnation());
+        this.reporter = UsageReporter.of(options.settings(), clock, medianClock, ThreadLocalRandom.current(), counter);
     }
 
     /** The clocks of this host. */
@@ -112,11 +112,11 @@
     }
 
     private DutyAnnouncement status() {
-        return new DutyAnnouncement(clock.wallClockMillis(), duty == null ? 0 : duty.preference(hostPower()), token());
+        return new DutyAnnouncement(clock.wallClockMillis(), duty == null ? 0 : duty.preference(hostCapacity()), token());
     }
 
-    private int hostPower() {
-        return gateway.draining() || !peers.storeReachable() ? 0 : options.power();
+    private int hostCapacity() {
+        return gateway.draining() || !peers.storeReachable() ? 0 : options.hostCapacity();
     }
 
     private long token() {
@@ -126,7 +126,7 @@
     private void peerStatusReceived(String peer, DutyAnnouncement status) {
         peerStatuses.put(peer, status);
         if (status.wallClockMillis() > 0) {
-            time.recordPeerTime(peer, status.wallClockMillis());
+            medianClock.recordPeerTime(peer, status.wallClockMillis());
         }
     }
 
@@ -150,13 +150,13 @@
             peerStatuses
                     .keySet()
                     .retainAll(otherNodes.stream().map(DutyPeer::name).toList());
-            time.retainPeers(peerStatuses.keySet());
+            medianClock.retainPeers(peerStatuses.keySet());
         }
         if (duty == null) {
-            duty = duty();
+            duty = createDuty();
         }
         long before = duty.fencingToken();
-        duty.tick(otherNodes, hostPower());
+        duty.tick(otherNodes, hostCapacity());
         if (duty.fencingToken() != before) {
             peers.reportNow();
         }
@@ -166,10 +166,10 @@
         reportToHolder(otherNodes);
     }
 
-    private UsageDuty duty() {
-        DutySettings terms = options.terms();
+    private UsageDuty createDuty() {
+        DutySettings settings = options.settings();
         RandomGenerator random = ThreadLocalRandom.current();
-        return UsageDuty.of(terms, clock, time, port, random, telemetry, counter, peers.incarnation());
+        return UsageDuty.of(settings, clock, medianClock, dutyClient, random, telemetry, counter, peers.incarnation());
     }
 
     // ---- telling the holder
@@ -182,12 +182,12 @@
         if (holder.isEmpty()) {
             return;
         }
-        long countedUnits = reporter.startedRequests();
+        long startedRequests = reporter.startedRequests();
         reporter.pollReport(holder.get(), otherNodes.size() + 1, countingFinished())
-                .ifPresent(report -> sendReport(holder.get(), report, countedUnits));
+                .ifPresent(report -> sendReport(holder.get(), report, startedRequests));
     }
 
-    private void sendReport(DutyPeer holder, UsageReport report, long countedUnits) {
+    private void sendReport(DutyPeer holder, UsageReport report, long startedRequests) {
         Optional<String> address = peers.table().peers().stream()
                 .filter(peer -> peer.report().name().equals(holder.name()))
                 .map(peer -> peer.report().address())
@@ -196,7 +196,7 @@
             reporter.failed();
             return;
         }
-        byte[] body = UsageCodec.reports(List.of(report));
+        byte[] body = UsageCodec.encodeReports(List.of(report));
         holderClient.call(
                 HttpMethod.POST, PeerRequestHandler.USAGE_PATH, PROTOBUF, body, REPORT_TIMEOUT_MILLIS, response -> {
                     if (response.status() != 200) {
@@ -205,8 +205,8 @@
                         return;
                     }
                     try {
-                        long fixedThrough = UsageCodec.fixedThrough(response.body());
-                        reporter.acknowledged(holder.announcement().fencingToken(), report, countedUnits, fixedThrough);
+                        long committedThrough = UsageCodec.decodeCommittedThrough(response.body());
+                        reporter.acknowledged(holder.announcement().fencingToken(), report, startedRequests, committedThrough);
                     } catch (InvalidProtocolBufferException e) {
                         LOG.log(Level.ERROR, "answer of peer " + holder.name() + ": " + e.getMessage());
                         reporter.failed();
@@ -236,11 +236,11 @@
         if (duty == null) {
             return Optional.empty();
         }
-        OptionalLong fixedThrough = OptionalLong.empty();
-        for (UsageReport report : UsageCodec.reports(body)) {
-            fixedThrough = duty.acceptReport(report);
+        OptionalLong committedThrough = OptionalLong.empty();
+        for (UsageReport report : UsageCodec.decodeReports(body)) {
+            committedThrough = duty.acceptReport(report);
         }
-        return fixedThrough.isPresent() ? Optional.of(UsageCodec.taken(fixedThrough.getAsLong())) : Optional.empty();
+        return committedThrough.isPresent() ? Optional.of(UsageCodec.encodeAcknowledgement(committedThrough.getAsLong())) : Optional.empty();
     }
 
     // ---- the end of the process
--- a/gateway/src/main/java/org/tanagerhinge/gateway/EarlyListener.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/EarlyListener.java
@@ -23,9 +23,9 @@
     private EarlyListener() {}
 
     /** Opens the socket that a settings file names, if it does so plainly and the address is free. */
-    public static Optional<ServerSocketChannel> open(Path settings) {
+    public static Optional<ServerSocketChannel> open(Path settingsFile) {
         try {
-            String text = Files.readString(settings);
+            String text = Files.readString(settingsFile);
             int line = text.startsWith(LISTEN_KEY) ? 0 : text.indexOf("\n" + LISTEN_KEY) + 1;
             int end = text.indexOf('\n', line);
             int colon = text.indexOf(':', line);
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
@@ -277,9 +277,9 @@
     }
 
     /** Runs a step now and again after each pause, also after one that threw. */
-    void repeat(Runnable step, LongSupplier pauseMillis) {
+    void repeat(Runnable step, LongSupplier delayMillis) {
         runGuarded(step);
-        schedule(() -> repeat(step, pauseMillis), pauseMillis.getAsLong());
+        schedule(() -> repeat(step, delayMillis), delayMillis.getAsLong());
     }
 
     /**
@@ -375,7 +375,7 @@
      * ones are left out as long as half of the servers are left: when most seem to fail, the cause is hardly theirs, and
      * leaving them out would only crowd the rest.
      */
-    List<ServerInstance> candidates(String service, Set<String> tried, long nowMillis) {
+    List<ServerInstance> candidates(String service, Set<String> triedServers, long nowMillis) {
         List<ServerInstance> open = directory.available(service).stream()
                 .filter(server -> serverAnnouncements.acceptsRequests(server.instanceId(), nowMillis))
                 .toList();
@@ -386,7 +386,7 @@
             boolean healthy =
                     !enabled(Mechanism.EJECTION) || (server.health().usable(nowMillis) && !silent(server, nowMillis));
             healthyCount += healthy ? 1 : 0;
-            if (!tried.contains(server.id())) {
+            if (!triedServers.contains(server.id())) {
                 untried.add(server);
                 if (healthy) {
                     usable.add(server);
@@ -448,8 +448,8 @@
     }
 
     /** Notes whether peers tell what they have in progress, which is fresher than what servers tell. */
-    void peerLoadAvailable(boolean heard) {
-        peerLoadAvailable = heard;
+    void peerLoadAvailable(boolean available) {
+        peerLoadAvailable = available;
     }
 
     /** Notes how many peers were heard of late. */
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
@@ -75,20 +75,20 @@
             GatewayOptions options,
             Dialect dialect,
             PlacementPolicy placement,
-            Function<EventLoopGroup, MetadataStore> store,
-            Function<EventLoopGroup, DutyClient> dutyCalls,
+            Function<EventLoopGroup, MetadataStore> storeFactory,
+            Function<EventLoopGroup, DutyClient> dutyClientFactory,
             Optional<ServerSocketChannel> earlySocket) {
         EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         NodeMetrics metrics = NodeMetrics.create();
         Gateway gateway = Gateway.create(loop, dialect, options, metrics, placement);
         GatewayDaemon daemon = new GatewayDaemon(loop, gateway, metrics, options);
         daemon.openListeners(earlySocket);
-        MetadataStore client = InstrumentedStore.of(store.apply(loop), metrics);
+        MetadataStore client = InstrumentedStore.of(storeFactory.apply(loop), metrics);
         PeerSynchronizer peers = PeerSynchronizer.open(gateway, loop, document -> decode(client, document));
         gateway.onSent(peers::promptSent);
         daemon.duties = options.duties()
                 .map(dutyOptions -> DutyParticipant.start(
-                        gateway, loop, peers, dutyCalls.apply(loop), dutyOptions, InstantSource.system()));
+                        gateway, loop, peers, dutyClientFactory.apply(loop), dutyOptions, InstantSource.system()));
         daemon.openPeerListener();
         daemon.registerGauges(peers);
         loop.next().execute(() -> StoreSynchronizer.start(gateway, client, peers));
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayOptions.java
@@ -49,7 +49,7 @@
      *
      * @param power how well this node could bear one, greater is better
      */
-    public record DutyOptions(DutySettings terms, int power) {}
+    public record DutyOptions(DutySettings settings, int hostCapacity) {}
 
     /**
      * Bounds within which the platform wants things done.
--- a/gateway/src/main/java/org/tanagerhinge/gateway/InstrumentedStore.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/InstrumentedStore.java
@@ -52,8 +52,8 @@
     }
 
     @Override
-    public void registerGateway(String name, String address, Duration leaseId, Consumer<Reply<Long>> onReply) {
-        store.registerGateway(name, address, leaseId, timed("join", onReply));
+    public void registerGateway(String name, String address, Duration leaseTtl, Consumer<Reply<Long>> onReply) {
+        store.registerGateway(name, address, leaseTtl, timed("join", onReply));
     }
 
     @Override
--- a/gateway/src/main/java/org/tanagerhinge/gateway/MetadataStore.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/MetadataStore.java
@@ -33,7 +33,7 @@
      * @param address IP:PORT
      * @param done gets the lease
      */
-    void registerGateway(String name, String address, Duration leaseId, Consumer<Reply<Long>> onReply);
+    void registerGateway(String name, String address, Duration leaseTtl, Consumer<Reply<Long>> onReply);
 
     /** Keeps a lease; {@code done} gets whether it still holds. */
     void keepAlive(long leaseId, Consumer<Reply<Boolean>> onReply);
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
@@ -49,7 +49,7 @@
     /** A server list with its age in milliseconds. */
     record ServerSnapshot(List<ServerRegistration> list, long ageMillis) {}
 
-    static byte[] state(PeerMessage message) {
+    static byte[] encodeState(PeerMessage message) {
         PeerReport report = message.report();
         PeerState.Builder state = PeerState.newBuilder()
                 .setName(report.name())
@@ -88,7 +88,7 @@
         return state.build().toByteArray();
     }
 
-    static PeerMessage state(byte[] bytes) throws InvalidProtocolBufferException {
+    static PeerMessage decodeState(byte[] bytes) throws InvalidProtocolBufferException {
         PeerState state = PeerState.parseFrom(bytes);
         Map<String, PeerReport.InstanceLoad> uses = new HashMap<>();
         for (ServerUse use : state.getUsesList()) {
@@ -100,9 +100,9 @@
                     demand.getService(),
                     new LaneDemand(demand.getShortRunning(), demand.getShortTokens(), demand.getLongTokens()));
         }
-        List<CachedPrefix> cachedPrefix = new ArrayList<>();
+        List<CachedPrefix> cachedPrefixes = new ArrayList<>();
         for (KeptParts parts : state.getKeptList()) {
-            cachedPrefix.add(new CachedPrefix(
+            cachedPrefixes.add(new CachedPrefix(
                     parts.getServer(),
                     parts.getPartsList().stream()
                             .map(part -> new PromptPart(part.getId(), part.getTokens()))
@@ -125,7 +125,7 @@
                 .toList();
         DutyAnnouncement duty =
                 new DutyAnnouncement(state.getTimeOfDayMillis(), state.getPower(), state.getUsageToken());
-        return new PeerMessage(report, cachedPrefix, suspicions, List.copyOf(state.getLeavingList()), duty);
+        return new PeerMessage(report, cachedPrefixes, suspicions, List.copyOf(state.getLeavingList()), duty);
     }
 
     private static SuspectedRequest encodeSuspicion(Quarantine.Suspicion suspicion) {
@@ -151,7 +151,7 @@
                 suspected.getHeldMillis());
     }
 
-    static byte[] servers(ServerSnapshot servers) {
+    static byte[] encodeServers(ServerSnapshot servers) {
         ServerList.Builder list =
                 ServerList.newBuilder().setAgeMillis((int) Math.min(Integer.MAX_VALUE, servers.ageMillis()));
         for (ServerRegistration server : servers.list()) {
@@ -167,7 +167,7 @@
         return list.build().toByteArray();
     }
 
-    static ServerSnapshot servers(byte[] bytes) throws InvalidProtocolBufferException {
+    static ServerSnapshot decodeServers(byte[] bytes) throws InvalidProtocolBufferException {
         ServerList list = ServerList.parseFrom(bytes);
         List<ServerRegistration> servers = new ArrayList<>();
         for (ServerEntry entry : list.getServersList()) {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerRequestHandler.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerRequestHandler.java
@@ -57,7 +57,7 @@
     }
 
     private byte[] servers() {
-        return PeerCodec.servers(new PeerCodec.ServerSnapshot(
+        return PeerCodec.encodeServers(new PeerCodec.ServerSnapshot(
                 gateway.directory().all().stream()
                         .map(ServerInstance::registration)
                         .toList(),
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerSynchronizer.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerSynchronizer.java
@@ -130,8 +130,8 @@
     }
 
     /** Takes the addresses at which gateways answer, from the platform's store. */
-    void addresses(List<String> addresses) {
-        for (String text : addresses) {
+    void addresses(List<String> addressTexts) {
+        for (String text : addressTexts) {
             addPeerAddress(text);
         }
         reportNow();
@@ -202,14 +202,14 @@
         PeerReport state = currentReport();
         List<Quarantine.Suspicion> unreported = gateway.quarantine().news(gateway.nowMillis());
         List<String> leaving = gateway.serverAnnouncements().nextLeavingReport();
-        byte[] bytes = PeerCodec.state(
+        byte[] bytes = PeerCodec.encodeState(
                 new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), unreported, leaving, dutyStatus.get()));
         byte[] fullBytes = bytes;
         int fullReportIndex = -1;
         if (!standing.isEmpty() && !addresses.isEmpty()) {
             List<Quarantine.Suspicion> all = new ArrayList<>(unreported);
             all.addAll(standing);
-            fullBytes = PeerCodec.state(
+            fullBytes = PeerCodec.encodeState(
                     new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), all, leaving, dutyStatus.get()));
             fullReportTurn = (fullReportTurn + 1) % addresses.size();
             fullReportIndex = fullReportTurn;
@@ -269,9 +269,9 @@
         if (report.configVersion() > gateway.configVersion()) {
             requestConfig(report);
         }
-        long age =
+        long ageMillis =
                 gateway.directory().hasList() ? nowMillis - gateway.directory().newestListMillis() : Long.MAX_VALUE;
-        if (report.serverListAgeMillis() + MIN_AGE_GAIN_MILLIS < age) {
+        if (report.serverListAgeMillis() + MIN_AGE_GAIN_MILLIS < ageMillis) {
             if (report.serverListDigest() == gateway.directory().digest()
                     && gateway.directory().hasList()) {
                 gateway.directory().confirmList(nowMillis - report.serverListAgeMillis());
@@ -379,7 +379,7 @@
             serversRequestInFlight = false;
             if (body != null) {
                 try {
-                    PeerCodec.ServerSnapshot servers = PeerCodec.servers(body);
+                    PeerCodec.ServerSnapshot servers = PeerCodec.decodeServers(body);
                     gateway.apply(servers.list(), requestedAtMillis - servers.ageMillis());
                 } catch (IOException e) {
                     LOG.log(Level.ERROR, "server list of peer " + aheadPeer.name() + ": " + e.getMessage());
@@ -396,10 +396,10 @@
             onResponse.accept(null);
             return;
         }
-        SequentialHttpClient caller = SequentialHttpClient.of(loop, address);
-        caller.call(HttpMethod.GET, path, "", REQUEST_TIMEOUT_MILLIS, answer -> {
-            caller.close();
-            onResponse.accept(answer.status() == 200 ? answer.body() : null);
+        SequentialHttpClient client = SequentialHttpClient.of(loop, address);
+        client.call(HttpMethod.GET, path, "", REQUEST_TIMEOUT_MILLIS, response -> {
+            client.close();
+            onResponse.accept(response.status() == 200 ? response.body() : null);
         });
     }
 
@@ -410,7 +410,7 @@
             byte[] bytes = new byte[packet.content().readableBytes()];
             packet.content().readBytes(bytes);
             try {
-                receive(PeerCodec.state(bytes));
+                receive(PeerCodec.decodeState(bytes));
             } catch (InvalidProtocolBufferException e) {
                 gateway.count("peer_report_unreadable");
             }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
@@ -25,15 +25,15 @@
     private String server = "";
     private String reason = "";
 
-    private RequestTelemetry(Gateway gateway, String id, long arrived) {
+    private RequestTelemetry(Gateway gateway, String id, long arrivedAtMillis) {
         this.gateway = gateway;
         this.id = id;
-        this.arrivedAtMillis = arrived;
+        this.arrivedAtMillis = arrivedAtMillis;
     }
 
     /** Returns the trail of a request that arrived at a time in milliseconds. */
-    static RequestTelemetry of(Gateway gateway, String id, long arrived) {
-        return new RequestTelemetry(gateway, id, arrived);
+    static RequestTelemetry of(Gateway gateway, String id, long arrivedAtMillis) {
+        return new RequestTelemetry(gateway, id, arrivedAtMillis);
     }
 
     private LogLine logLine(LogEvent event, boolean failure) {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/UsageCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/UsageCodec.java
@@ -18,7 +18,7 @@
     private UsageCodec() {}
 
     /** Returns the message that holds reports. */
-    public static byte[] reports(List<UsageReport> reports) {
+    public static byte[] encodeReports(List<UsageReport> reports) {
         UsageTold.Builder told = UsageTold.newBuilder();
         for (UsageReport report : reports) {
             UsageSource.Builder source = UsageSource.newBuilder()
@@ -27,22 +27,22 @@
                     .setSinceMillis(report.sinceMillis())
                     .setAsOfMillis(report.asOfMillis())
                     .setLast(report.last());
-            report.windows().forEach((window, counts) -> source.addWindows(window(window, counts)));
+            report.windows().forEach((window, counts) -> source.addWindows(encodeWindow(window, counts)));
             told.addSources(source);
         }
         return told.build().toByteArray();
     }
 
     /** Returns the reports that a message holds. */
-    public static List<UsageReport> reports(byte[] message) throws InvalidProtocolBufferException {
+    public static List<UsageReport> decodeReports(byte[] message) throws InvalidProtocolBufferException {
         return UsageTold.parseFrom(message).getSourcesList().stream()
-                .map(UsageCodec::report)
+                .map(UsageCodec::decodeReport)
                 .toList();
     }
 
-    private static UsageReport report(UsageSource source) {
+    private static UsageReport decodeReport(UsageSource source) {
         SortedMap<Long, SortedMap<String, Long>> windows = new TreeMap<>();
-        source.getWindowsList().forEach(window -> windows.put(window.getWindow(), counts(window)));
+        source.getWindowsList().forEach(window -> windows.put(window.getWindow(), decodeWindow(window)));
         return new UsageReport(
                 source.getNode(),
                 source.getIncarnation(),
@@ -52,35 +52,35 @@
                 windows);
     }
 
-    private static UsageWindow.Builder window(long number, Map<String, Long> counts) {
+    private static UsageWindow.Builder encodeWindow(long number, Map<String, Long> counts) {
         UsageWindow.Builder window = UsageWindow.newBuilder().setWindow(number);
         counts.forEach((workspace, count) -> window.addCounts(
                 WorkspaceCount.newBuilder().setWorkspace(workspace).setCount(count)));
         return window;
     }
 
-    private static SortedMap<String, Long> counts(UsageWindow window) {
+    private static SortedMap<String, Long> decodeWindow(UsageWindow window) {
         SortedMap<String, Long> counts = new TreeMap<>();
         window.getCountsList().forEach(count -> counts.put(count.getWorkspace(), count.getCount()));
         return counts;
     }
 
     /** Returns the message that holds the counts of one window. */
-    public static byte[] counts(UsageCounts counts) {
-        return window(counts.window(), counts.byWorkspace()).build().toByteArray();
+    public static byte[] encodeCounts(UsageCounts counts) {
+        return encodeWindow(counts.window(), counts.byWorkspace()).build().toByteArray();
     }
 
     /** Returns the counts that a message holds. */
-    public static UsageCounts counts(byte[] message) throws InvalidProtocolBufferException {
+    public static UsageCounts decodeCounts(byte[] message) throws InvalidProtocolBufferException {
         UsageWindow window = UsageWindow.parseFrom(message);
-        return new UsageCounts(window.getWindow(), counts(window));
+        return new UsageCounts(window.getWindow(), decodeWindow(window));
     }
 
-    static byte[] taken(long fixedThrough) {
-        return UsageTaken.newBuilder().setFixedThrough(fixedThrough).build().toByteArray();
+    static byte[] encodeAcknowledgement(long committedThrough) {
+        return UsageTaken.newBuilder().setFixedThrough(committedThrough).build().toByteArray();
     }
 
-    static long fixedThrough(byte[] message) throws InvalidProtocolBufferException {
+    static long decodeCommittedThrough(byte[] message) throws InvalidProtocolBufferException {
         return UsageTaken.parseFrom(message).getFixedThrough();
     }
 }
--- a/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
@@ -38,7 +38,7 @@
                         Quarantine.HOLD_MILLIS),
                 new Quarantine.Suspicion(new RequestFingerprint(0, 0), List.of(), Optional.of(0L), 0));
         PeerCodec.PeerMessage sent = message(suspicions, List.of("i-1@2", "i-2"));
-        assertEquals(sent, PeerCodec.state(PeerCodec.state(sent)));
+        assertEquals(sent, PeerCodec.decodeState(PeerCodec.encodeState(sent)));
     }
 
     /** All that was in progress at an engine of 128 places is news for one report after the other, beside servers that leave. */
@@ -54,8 +54,8 @@
         }
         List<Quarantine.Suspicion> all = new ArrayList<>(quarantine.news(1_000_000));
         all.addAll(quarantine.standing(1_000_000));
-        int bytes = PeerCodec.state(message(all, words.nextLeavingReport())).length
-                - PeerCodec.state(message(List.of(), List.of())).length;
+        int bytes = PeerCodec.encodeState(message(all, words.nextLeavingReport())).length
+                - PeerCodec.encodeState(message(List.of(), List.of())).length;
         assertTrue(bytes < CONTROL_BYTES_PER_SECOND / 4, bytes + " bytes");
     }
 }
