--- a/gateway/src/main/java/org/tanagerhinge/gateway/AttemptListener.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/AttemptListener.java
@@ -4,17 +4,20 @@
 import io.netty.handler.codec.http.HttpResponse;
 import org.tanagerhinge.core.attempt.AttemptEnd;
 
-/** Hears of one attempt at a backend server; after {@link #ended} or {@link #failed} nothing more is heard. */
+/**
+ * Receives the events of one attempt at a backend server; none follow {@link #responseCompleted} or {@link
+ * #attemptFailed}.
+ */
 interface AttemptListener {
-    /** The attempt's own answer has begun. */
+    /** Called when the head of the attempt's own response has arrived. */
     void responseHead(HttpResponse response, BackendResponseMetadata metadata);
 
-    /** More of the answer's body came; the bytes stay the caller's. */
+    /** Called for each piece of the response body; the caller keeps ownership of the bytes. */
     void responseBody(ByteBuf bytes);
 
-    /** The answer is whole. */
+    /** Called when the response is complete. */
     void responseCompleted();
 
-    /** The attempt has failed. */
+    /** Called when the attempt has failed. */
     void attemptFailed(AttemptEnd end, String reason);
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
@@ -21,20 +21,26 @@
 import org.tanagerhinge.core.relay.ServerInstance;
 
 /**
- * One connection to one incarnation of a backend server, which carries one request at a time.
+ * Carries requests, one at a time, over one connection to one instance of a backend server.
  *
- * <p>An answer belongs to the request whose id it names: a server may send one twice, so that a late answer stands where
- * the next one is expected. Such an answer is skipped; bytes that come while nothing is expected end the connection.
+ * <p>A response belongs to the request whose attempt id it names. A server may send a response twice, so a late
+ * duplicate can arrive where the next response is expected; it is skipped. Bytes that arrive while no response is
+ * expected close the connection.
  */
 final class BackendConnection extends ChannelInboundHandlerAdapter {
     private static final int MAX_INITIAL_LINE_BYTES = 4096;
     private static final int MAX_HEADER_BYTES = 65_536;
     private static final int MAX_CHUNK_BYTES = 16_384;
-    /** Another server answers at the address: what it says of itself isn't about this one. */
+    /**
+     * HTTP status of an address that now belongs to another server instance; its announcements are not about this one.
+     */
     private static final int MISDIRECTED_REQUEST = 421;
-    /** Idle time after which a server is taken to close if it doesn't say, in milliseconds. */
+    /** Idle time after which a server is assumed to close a connection if it announces none. */
     private static final long DEFAULT_IDLE_TIMEOUT_MILLIS = 4_000;
-    /** Share of a server's idle time up to which a connection is used: its close must not cross a request. */
+    /**
+     * Share of the server's idle timeout up to which a connection is reused, so that its close does not cross a
+     * request.
+     */
     private static final double REUSABLE_IDLE_SHARE = 0.6;
 
     private final BackendConnectionPool pool;
@@ -69,7 +75,7 @@
         return channel;
     }
 
-    /** Returns whether the server can be expected to take another request on this connection. */
+    /** Returns whether this connection is open, unused and not idle for too long to carry another request. */
     boolean reusable(long nowMillis, long maxIdleMillis) {
         return channel.isActive()
                 && activeListener == null
@@ -77,7 +83,7 @@
                         < Math.min(maxIdleMillis, (long) (REUSABLE_IDLE_SHARE * idleTimeoutMillis));
     }
 
-    /** Sends a request whose answer goes to a listener. */
+    /** Sends a request; its response goes to {@code listener}. */
     void send(FullHttpRequest request, String id, AttemptListener listener) {
         activeListener = listener;
         attemptId = id;
@@ -88,16 +94,16 @@
         written = channel.writeAndFlush(request);
     }
 
-    /** Ends the attempt without another word to its listener, and with it the connection. */
+    /** Closes the connection without notifying the listener. */
     void abort() {
         activeListener = null;
         channel.close();
     }
 
     /**
-     * Lets the server finish what it was sent, though nobody waits for the answer any more.
+     * Lets the server finish the request and discards its response.
      *
-     * @param broken runs if the connection breaks before the answer has ended
+     * @param broken runs if the connection breaks before the response is complete
      */
     void detach(Runnable broken) {
         if (activeListener != null) {
@@ -105,7 +111,7 @@
         }
     }
 
-    /** Stops or goes on with reading, so that a slow caller fills no memory here. */
+    /** Enables or disables reading, so that a slow caller does not make responses pile up in memory. */
     void setReading(boolean enabled) {
         channel.config().setAutoRead(enabled);
     }
@@ -134,7 +140,7 @@
     private void handleHead(HttpResponse response) {
         if (response.decoderResult().isFailure()
                 || !"HTTP".equals(response.protocolVersion().protocolName())) {
-            fail(AttemptEnd.BROKEN, "not an HTTP answer");
+            fail(AttemptEnd.BROKEN, "malformed HTTP response");
             return;
         }
         if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
@@ -152,7 +158,7 @@
         }
         boolean refusal = metadata.notExecuted() || response.status().code() == MISDIRECTED_REQUEST;
         if (metadata.attemptId().isEmpty() && !refusal) {
-            fail(AttemptEnd.BROKEN, "answer names no request");
+            fail(AttemptEnd.BROKEN, "response has no attempt id");
             return;
         }
         skipping = false;
@@ -163,7 +169,7 @@
 
     private void handleContent(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            fail(AttemptEnd.BROKEN, "garbled body");
+            fail(AttemptEnd.BROKEN, "malformed response body");
             return;
         }
         boolean last = content instanceof LastHttpContent;
@@ -239,7 +245,7 @@
         fail(AttemptEnd.BROKEN, "connection closed");
     }
 
-    /** Decodes answers, of which those to HEAD requests have no body. */
+    /** Decodes responses; those to HEAD requests have no body. */
     private static final class ResponseDecoder extends HttpResponseDecoder {
         private boolean headOnly;
 
@@ -257,7 +263,7 @@
         }
     }
 
-    /** Takes an answer that nobody waits for. */
+    /** Discards a response that is no longer needed. */
     private record DiscardingListener(Runnable broken) implements AttemptListener {
         @Override
         public void responseHead(HttpResponse response, BackendResponseMetadata metadata) {}
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnectionPool.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnectionPool.java
@@ -19,15 +19,17 @@
 import jdk.net.ExtendedSocketOptions;
 import org.tanagerhinge.core.relay.ServerInstance;
 
-/** Connections to backend servers, kept by the life of a server, since an address may be used again by another one. */
+/** Pools connections to backend servers by server instance, since another instance may reuse an address. */
 final class BackendConnectionPool {
-    /** A lost opening packet is sent again after a second: another server is the better choice by then. */
+    /**
+     * Shorter than the one second after which a lost SYN packet is sent again, since another server is tried by then.
+     */
     private static final int CONNECT_TIMEOUT_MILLIS = 600;
-    /** Keep-alive probes: a peer that lost power or fell silent shows after about three seconds. */
+    /** TCP keep-alive: a server that lost power or its network is detected after about three seconds. */
     private static final int KEEP_ALIVE_PROBE_SECONDS = 1;
 
     private static final int KEEP_ALIVE_PROBES = 2;
-    /** Idle connections beyond this time are closed, whatever the server allows, in milliseconds. */
+    /** Idle time after which a connection is closed even if the server allows more. */
     private static final long MAX_IDLE_MILLIS = 30_000;
 
     private final EventLoopGroup loop;
@@ -51,7 +53,7 @@
         this.responseListener = hearer;
     }
 
-    /** Hears what each answer says of its server, whoever the answer is for. */
+    /** Receives the metadata of each response, whichever request it belongs to. */
     interface ResponseListener {
         void responseReceived(ServerInstance server, int status, BackendResponseMetadata metadata);
     }
@@ -73,9 +75,9 @@
     }
 
     /**
-     * Returns a kept connection to a server that may carry another request, or null.
+     * Returns an idle connection to a server that can carry another request, or null if there is none.
      *
-     * @param mostIdle longest idle time of a connection that is wanted, in milliseconds
+     * @param maxIdleMillis longest time that the connection may have been idle, in milliseconds
      */
     BackendConnection pollIdle(ServerInstance server, long maxIdleMillis) {
         Deque<BackendConnection> connections = idleByInstance.get(server.instanceId());
@@ -94,10 +96,12 @@
         return null;
     }
 
-    /** Opens a connection; {@code done} gets it, or null if none could be made. */
+    /** Opens a connection; {@code onConnected} receives it, or null if the connection failed. */
     void connect(ServerInstance server, Consumer<BackendConnection> onConnected) {
         BackendConnection connection = new BackendConnection(this, server);
-        connectionsByInstance.computeIfAbsent(server.instanceId(), id -> new HashSet<>()).add(connection);
+        connectionsByInstance
+                .computeIfAbsent(server.instanceId(), id -> new HashSet<>())
+                .add(connection);
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -129,7 +133,8 @@
             connection.channel().close();
             return;
         }
-        idleByInstance.computeIfAbsent(connection.server().instanceId(), id -> new ArrayDeque<>())
+        idleByInstance
+                .computeIfAbsent(connection.server().instanceId(), id -> new ArrayDeque<>())
                 .addLast(connection);
     }
 
@@ -147,9 +152,9 @@
     }
 
     /**
-     * Closes idle connections to servers that take no new work, and those that were idle for long.
+     * Closes idle connections to servers that accept no new work, and connections that were idle too long.
      *
-     * @param leaves whether a server has said that it leaves
+     * @param isLeaving whether a server has announced that it leaves
      */
     void sweep(Predicate<ServerInstance> isLeaving) {
         for (Deque<BackendConnection> connections : Set.copyOf(idleByInstance.values())) {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendRequestMetadata.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendRequestMetadata.java
@@ -5,15 +5,15 @@
 import java.util.OptionalLong;
 
 /**
- * What the relay tells a backend server with a request.
+ * Holds what the relay adds to a request for a backend server.
  *
- * @param serverId the incarnation that is meant; another one must not run the request
- * @param leftMillis time after which the answer is of no use
- * @param workspace name of the workspace that holds the caller's key
+ * @param serverId the server instance that is meant; another instance must not run the request
+ * @param remainingMillis time until the caller's deadline, in milliseconds
+ * @param workspace name of the workspace that owns the caller's key
  * @param priority rank, 0 is the most urgent
- * @param afterEvent the event after which a stream goes on; empty to pass on what the caller said
- * @param fetchFrom another server of the service from which it may take what that one holds of the prompt
- * @param weightsVersion the version of the weights that an answer was begun with, to be gone on with
+ * @param resumeAfterEvent id of the event after which a stream resumes; empty to forward the caller's own value
+ * @param fetchFrom another server of the service from which cached parts of the prompt can be fetched
+ * @param weightsVersion version of the model weights that produced the start of the response and must continue it
  */
 public record BackendRequestMetadata(
         String serverId,
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendResponseMetadata.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendResponseMetadata.java
@@ -4,15 +4,15 @@
 import java.util.OptionalLong;
 
 /**
- * What the head of a backend server's answer tells besides its HTTP framing.
+ * Holds what the head of a backend server's response says besides HTTP framing.
  *
- * @param attemptId the request that it answers; empty text if it names none
+ * @param attemptId id of the attempt that it responds to; empty if it names none
  * @param sealed whether it bears the server's signature
- * @param notRun whether it states that the request did not run and won't
- * @param load what the server runs, if it tells
- * @param weightsVersion version of the model's weights, if it tells
- * @param leaving whether the server says that it leaves
- * @param retryAfterMillis for how long the server wants nothing, if it tells
+ * @param notExecuted whether it states that the request was not executed and will not be
+ * @param load the server's load, if reported
+ * @param weightsVersion version of the model weights, if reported
+ * @param leaving whether the server announces that it leaves
+ * @param retryAfterMillis how long the server wants no requests, in milliseconds, if reported
  */
 public record BackendResponseMetadata(
         String attemptId,
@@ -22,6 +22,6 @@
         Optional<String> weightsVersion,
         boolean leaving,
         OptionalLong retryAfterMillis) {
-    /** Requests that a server runs, that wait there, and that it can run at once. */
+    /** Counts the requests that a server runs, those that wait there, and its slots for running requests. */
     public record ServerLoad(int running, int waiting, int slots) {}
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/CallerConnection.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/CallerConnection.java
@@ -31,13 +31,13 @@
 import org.tanagerhinge.core.relay.CallerLimits;
 import org.tanagerhinge.core.result.ResultCode;
 
-/** A caller's connection: reads one request after the other and writes their answers. */
+/** Reads the requests of one caller connection, one after the other, and writes their responses. */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
-    /** Objects of further requests that are kept while one is in progress; reading stops beyond. */
+    /** Maximum number of decoded objects of pipelined requests that are queued; beyond it, reading pauses. */
     private static final int MAX_PIPELINED = 64;
-    /** How long a caller may take to close after an answer that ends its connection, in milliseconds. */
+    /** Time that a caller has to close its side after the last response. */
     private static final long LINGER_MILLIS = 1_000;
-    /** Bytes of the frame of a chunk at the most: its length in hexadecimal digits and two line breaks. */
+    /** Maximum size of a chunk's frame: its length in hexadecimal digits and two line breaks. */
     private static final int CHUNK_FRAME_BYTES = 12;
 
     private static final int CRLF = '\r' << 8 | '\n';
@@ -126,7 +126,7 @@
         }
     }
 
-    /** A request that two readers could cut differently would let one caller smuggle in another's request. */
+    /** Returns whether two parsers could frame the request differently, which would allow request smuggling. */
     private static boolean ambiguous(HttpRequest request) {
         int hosts = request.headers().getAll(HttpHeaderNames.HOST).size();
         int lengths = request.headers().getAll(HttpHeaderNames.CONTENT_LENGTH).size();
@@ -159,12 +159,12 @@
         }
     }
 
-    /** Returns whether the caller reads as fast as answers come. */
+    /** Returns whether the caller reads as fast as responses arrive. */
     boolean writable() {
         return channel.isWritable();
     }
 
-    /** Writes the head of an answer whose body follows in pieces. */
+    /** Writes the head of a response whose body follows in chunks. */
     void writeHead(HttpResponse response) {
         setConnectionHeader(response);
         chunked = HttpUtil.isTransferEncodingChunked(response);
@@ -172,10 +172,10 @@
     }
 
     /**
-     * Writes a piece of a body; the bytes are taken over.
+     * Writes a part of a response body and takes ownership of the bytes.
      *
-     * <p>A piece of a chunked body is framed here and goes past the codec, which would make three buffers of it and a
-     * gathering write: with some twenty events a stream that is a quarter of a gateway's processor time.
+     * <p>A chunked body is framed here and bypasses the codec, which would need three buffers and a gathering write for
+     * each chunk, a large share of the processor time on event streams.
      */
     void writeChunk(ByteBuf bytes) {
         if (!chunked) {
@@ -194,20 +194,20 @@
         bytes.release();
     }
 
-    /** Ends an answer that was written in pieces. */
+    /** Ends a response that was written in chunks. */
     void endResponse() {
         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
         responseFinished();
     }
 
-    /** Writes a whole answer. */
+    /** Writes a complete response. */
     void writeResponse(FullHttpResponse response) {
         setConnectionHeader(response);
         channel.writeAndFlush(response);
         responseFinished();
     }
 
-    /** Ends the connection in the midst of an answer, so that it can't be taken for whole. */
+    /** Resets the connection in the middle of a response, so that the caller cannot take it for complete. */
     void abortResponse() {
         exchange = null;
         closing = true;
@@ -215,13 +215,13 @@
         channel.close();
     }
 
-    /** Answers a request that wasn't read whole, so that there is no exchange to tell of it. */
+    /** Refuses a request that was not read completely and therefore has no exchange to log it. */
     private void refuseUnread(Refusal refusal) {
         RequestTelemetry.of(gateway, "", gateway.nowMillis()).refused(refusal);
         refuse(refusal);
     }
 
-    /** Answers a request in the relay's own name. */
+    /** Writes a response that the relay itself gives to a request. */
     void refuse(Refusal refusal) {
         gateway.count(refusal.code().label());
         ByteBuf text = ByteBufUtil.writeUtf8(channel.alloc(), refusal.code().meaning() + "\n");
@@ -265,8 +265,8 @@
     }
 
     /**
-     * Closes after what was written has gone out. Closing with unread bytes would reset the connection, and with it an
-     * answer that is still under way; so the caller is given time to close first.
+     * Closes the connection after everything written has been sent. A close with unread bytes would reset the
+     * connection and lose a response that is still being sent, so the caller has time to close first.
      */
     private void closeGracefully() {
         closing = true;
@@ -277,14 +277,14 @@
         });
     }
 
-    /** Closes the connection if nothing is in progress on it, for a planned stop. */
+    /** Closes the connection if it has no request in flight; used by a graceful stop. */
     void closeIfIdle() {
         if (!closing && exchange == null && head == null) {
             closeGracefully();
         }
     }
 
-    /** Closes the connection if it is idle or slow to send beyond the limits. */
+    /** Closes the connection if it exceeded the idle limit, or refuses a request that arrives too slowly. */
     void sweep(long nowMillis) {
         CallerLimits limits = gateway.limits();
         if (closing || exchange != null) {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/CallerMetadata.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/CallerMetadata.java
@@ -5,12 +5,13 @@
 import org.tanagerhinge.core.relay.Prompt;
 
 /**
- * What a caller's request head tells besides its HTTP framing.
+ * Holds what the head of a caller's request says besides HTTP framing.
  *
- * @param attemptId names this try of the caller; empty text if it gave none
- * @param patienceMillis how long the caller will wait, if it says so
- * @param key the caller's key, if it gave one
- * @param lastEventId the event after which a stream goes on; 0 for its beginning
+ * @param attemptId identifies this attempt of the caller; empty if it gave none
+ * @param timeoutMillis how long the caller waits, in milliseconds, if stated
+ * @param key the caller's key, if present
+ * @param prompt what the head says about the prompt
+ * @param lastEventId id of the event after which a stream resumes; 0 for its beginning
  */
 public record CallerMetadata(
         String attemptId, OptionalLong timeoutMillis, Optional<String> key, Prompt prompt, long lastEventId) {}
--- a/gateway/src/main/java/org/tanagerhinge/gateway/CrashDetector.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/CrashDetector.java
@@ -9,18 +9,18 @@
 import org.tanagerhinge.core.relay.ServerInstance;
 
 /**
- * Tells servers that have ended from connections that merely broke, and holds an end against what was in progress there.
+ * Distinguishes crashed servers from broken connections, and reports the requests that were in flight at a crash.
  *
- * <p>A connection also breaks where a server loses an answer, spoils one or closes while it is idle: requests that had to do with
- * that are not suspected. So the server is asked for a new connection, which a server that has ended doesn't take; one that is
- * made is kept for the next request.
+ * <p>A connection also breaks if a server loses or corrupts a response or closes while idle; the affected requests are
+ * not suspects then. So the server is probed with a new connection, which a crashed server refuses; a successful
+ * connection goes to the pool.
  */
 final class CrashDetector {
-    /** Requests that are held responsible for one end at the most: as many as a large server runs at once. */
+    /** Maximum number of requests that become suspects of one crash. */
     private static final int MAX_SUSPECTS = 128;
-    /** Other connections to a server that has ended break within this time of the first one, in milliseconds. */
+    /** Time after the first broken connection within which further ones count for the same crash. */
     private static final long CRASH_WINDOW_MILLIS = 1_000;
-    /** Ended servers that are remembered for that. */
+
     private static final int MAX_CRASHES_REMEMBERED = 64;
 
     private final Gateway gateway;
@@ -36,7 +36,7 @@
         this.gateway = gateway;
     }
 
-    /** Notes that the connection on which a request was in progress has broken. */
+    /** Records that a connection broke with a request in flight, and probes the server unless a probe is pending. */
     void connectionBroke(ServerInstance server, RequestFingerprint request) {
         if (crashedRecently(server)) {
             gateway.serverCrashed(server, Set.of(request));
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Dialect.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Dialect.java
@@ -4,22 +4,22 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** The names that callers and backend servers use on the wire, read and written in one place. */
+/** Reads and writes the headers and paths that a deployment uses on the wire. */
 public interface Dialect {
-    /** Reads what a caller tells in its request's head. */
+    /** Returns the metadata in the head of a caller's request. */
     CallerMetadata callerMetadata(HttpRequest request);
 
     /**
-     * Makes the headers of a request to a backend server: takes out what only the relay may set and what the server
-     * must not see, and sets what the relay tells.
+     * Prepares the headers of a request to a backend server: removes those that only the relay may set or that the
+     * server must not see, and sets those of the relay.
      *
-     * @param headers the caller's headers without those of its connection; changed in place
+     * @param headers the caller's headers without hop-by-hop headers; changed in place
      */
     void prepareBackendRequest(HttpHeaders headers, BackendRequestMetadata metadata);
 
-    /** Reads what a backend server tells in its answer's head. */
+    /** Returns the metadata in the head of a backend server's response. */
     BackendResponseMetadata responseMetadata(HttpResponse response);
 
-    /** Returns the path at which the platform asks whether this node takes new connections. */
+    /** Returns the path at which the platform checks whether this node accepts new connections. */
     String readinessPath();
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/DutyParticipant.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/DutyParticipant.java
@@ -27,16 +27,18 @@
 import org.tanagerhinge.core.duty.UsageReporter;
 import org.tanagerhinge.core.relay.PeerTable;
 
-/** A gateway's part in the duties that one gateway does for all: counts, tells the holder, holds. On the event loop. */
+/**
+ * Takes part in duties that one gateway performs for all: counts usage, reports it to the holder, and stands for
+ * election as holder. All methods run on the event loop unless stated otherwise.
+ */
 final class DutyParticipant {
     private static final Logger LOG = System.getLogger(DutyParticipant.class.getName());
-    /** How often it is looked what is due, in milliseconds. */
     private static final long STEP_MILLIS = 150;
-    /** A node that has just started serves callers first and looks after duties then, in milliseconds. */
+    /** Delay after startup, during which the node serves callers without taking part in elections. */
     private static final long START_DELAY_MILLIS = 3_000;
 
     private static final long REPORT_TIMEOUT_MILLIS = 700;
-    /** A process that stops looks for a holder to tell its last counts for so long, in milliseconds. */
+    /** Time for which a stopping process tries to deliver its last counts to the holder. */
     private static final long FINAL_REPORT_TIMEOUT_MILLIS = 1_500;
 
     private static final Map<String, String> PROTOBUF =
@@ -79,7 +81,7 @@
         this.reporter = UsageReporter.of(options.settings(), clock, medianClock, ThreadLocalRandom.current(), counter);
     }
 
-    /** The clocks of this host. */
+    /** Provides the steady clock and the wall clock of this host. */
     private record HostClock(Gateway gateway, InstantSource wallClock) implements NodeClock {
         @Override
         public long steadyMillis() {
@@ -92,7 +94,7 @@
         }
     }
 
-    /** Begins to count at once, and to look after duties a little later. */
+    /** Starts counting at once, and takes part in duties after a delay. */
     static DutyParticipant start(
             Gateway gateway,
             EventLoopGroup loop,
@@ -112,7 +114,8 @@
     }
 
     private DutyAnnouncement status() {
-        return new DutyAnnouncement(clock.wallClockMillis(), duty == null ? 0 : duty.preference(hostCapacity()), token());
+        return new DutyAnnouncement(
+                clock.wallClockMillis(), duty == null ? 0 : duty.preference(hostCapacity()), token());
     }
 
     private int hostCapacity() {
@@ -172,7 +175,7 @@
         return UsageDuty.of(settings, clock, medianClock, dutyClient, random, telemetry, counter, peers.incarnation());
     }
 
-    // ---- telling the holder
+    // ---- reports to the holder
 
     private void reportToHolder(List<DutyPeer> otherNodes) {
         if (token() > 0) {
@@ -206,9 +209,12 @@
                     }
                     try {
                         long committedThrough = UsageCodec.decodeCommittedThrough(response.body());
-                        reporter.acknowledged(holder.announcement().fencingToken(), report, startedRequests, committedThrough);
+                        reporter.acknowledged(
+                                holder.announcement().fencingToken(), report, startedRequests, committedThrough);
                     } catch (InvalidProtocolBufferException e) {
-                        LOG.log(Level.ERROR, "answer of peer " + holder.name() + ": " + e.getMessage());
+                        LOG.log(
+                                Level.ERROR,
+                                "ignoring invalid acknowledgement from peer " + holder.name() + ": " + e.getMessage());
                         reporter.failed();
                     }
                 });
@@ -226,12 +232,12 @@
             holderAddress = address;
             return true;
         } catch (InvalidProtocolBufferException e) {
-            LOG.log(Level.WARNING, "address of a peer: " + e.getMessage());
+            LOG.log(Level.WARNING, "cannot report usage, malformed peer address: " + e.getMessage());
             return false;
         }
     }
 
-    /** Takes what peers have counted; returns the answer, or nothing if this node isn't the holder. */
+    /** Accepts usage reports of peers; returns the acknowledgement, or nothing if this node is not the holder. */
     Optional<byte[]> receiveReports(byte[] body) throws InvalidProtocolBufferException {
         if (duty == null) {
             return Optional.empty();
@@ -240,12 +246,14 @@
         for (UsageReport report : UsageCodec.decodeReports(body)) {
             committedThrough = duty.acceptReport(report);
         }
-        return committedThrough.isPresent() ? Optional.of(UsageCodec.encodeAcknowledgement(committedThrough.getAsLong())) : Optional.empty();
+        return committedThrough.isPresent()
+                ? Optional.of(UsageCodec.encodeAcknowledgement(committedThrough.getAsLong()))
+                : Optional.empty();
     }
 
-    // ---- the end of the process
+    // ---- graceful stop
 
-    /** A planned stop has begun: another node is to hold the duty. */
+    /** Begins a graceful stop: gives up the duty so that another node takes it over. */
     void beginStop() {
         if (duty != null) {
             duty.stop();
@@ -253,7 +261,7 @@
         peers.reportNow();
     }
 
-    /** No more requests are taken. */
+    /** Notes that no further requests are accepted. */
     void intakeClosed() {
         intakeClosed = true;
     }
@@ -271,7 +279,10 @@
         settled = alone || reporter.lastReportAcknowledged() || timedOut;
     }
 
-    /** Returns whether the process may end: the holder has its last counts, or there is none to be found. From any thread. */
+    /**
+     * Returns whether the process may exit: the holder has acknowledged the last counts, or no holder was found in
+     * time. May be called from any thread.
+     */
     boolean settled() {
         return settled;
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/DutyTelemetry.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/DutyTelemetry.java
@@ -7,7 +7,7 @@
 import org.tanagerhinge.node.log.LogField;
 import org.tanagerhinge.node.log.LogLine;
 
-/** Tells of duties in log lines and counters. */
+/** Records duty events as log lines and counters. */
 final class DutyTelemetry implements DutyListener {
     private final Gateway gateway;
     private double coverage = Double.NaN;
@@ -16,7 +16,9 @@
         this.gateway = gateway;
     }
 
-    /** Returns the part of the known nodes whose counts the newest window held; not a number on a node that fixed none. */
+    /**
+     * Returns the share of known nodes whose counts the latest window contains; NaN if this node committed no window.
+     */
     double coverage() {
         return coverage;
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/EarlyListener.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/EarlyListener.java
@@ -9,20 +9,22 @@
 import java.util.Optional;
 
 /**
- * Listens for callers before anything else is loaded.
+ * Opens the listening socket for callers before the rest of the program is loaded.
  *
- * <p>After a restart it takes a good part of a second until the rest of the program is there. Callers that connect
- * meanwhile would be reset and have to come back; so the socket is opened first, and they wait in its queue. The address
- * is found by a look at the file; if it can't be, the socket is opened later, once the settings were read and checked.
+ * <p>After a restart, callers that connect during startup wait in the socket's backlog instead of being reset. The
+ * address is taken from the settings file by a plain text search; if that fails, the socket is opened later, after the
+ * settings are validated.
  */
 public final class EarlyListener {
     private static final int BACKLOG = 1024;
-    /** Begins the line with the address. Found without a pattern, whose classes cost 25 ms before the socket is open. */
+    /**
+     * Prefix of the line with the address. Searched without a regular expression, whose classes would delay startup.
+     */
     private static final String LISTEN_KEY = "listen = ";
 
     private EarlyListener() {}
 
-    /** Opens the socket that a settings file names, if it does so plainly and the address is free. */
+    /** Opens the socket that a settings file names; empty if the address is not in plain form or not available. */
     public static Optional<ServerSocketChannel> open(Path settingsFile) {
         try {
             String text = Files.readString(settingsFile);
@@ -38,7 +40,8 @@
             channel.bind(new InetSocketAddress(InetAddress.ofLiteral(ip), port), BACKLOG);
             return Optional.of(channel);
         } catch (IOException | IllegalArgumentException e) {
-            // The settings are read and checked later, and what is wrong with them is reported then.
+            // The settings are validated later, and their errors are reported then.
+
             return Optional.empty();
         }
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/EventSplitter.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/EventSplitter.java
@@ -7,14 +7,14 @@
 import java.util.List;
 
 /**
- * Cuts the bytes of an event stream into whole events.
+ * Splits the bytes of an event stream into complete events.
  *
- * <p>A server may end in the midst of an event. Were its first half passed on, the caller would join it with the event
- * that comes after a resume; so only whole events leave here.
+ * <p>A server may crash in the middle of an event. If the first part were forwarded, the caller would join it with the
+ * first event after a resume, so only complete events are returned.
  */
 final class EventSplitter {
     private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
-    /** An event that is larger than this is taken for garbage, in bytes. */
+    /** Maximum size of an event; a larger one is treated as malformed. */
     private static final int MAX_EVENT_BYTES = 1 << 20;
 
     private final ByteBuf pending;
@@ -25,13 +25,13 @@
         pending = allocator.heapBuffer(256);
     }
 
-    /** A whole event with the blank line that ends it; {@code id} is -1 if it has none. */
+    /** Holds a complete event with the blank line that ends it; {@code id} is -1 if it has no numeric id. */
     record Event(long id, ByteBuf bytes) {}
 
     /**
-     * Takes more bytes, which stay the caller's.
+     * Adds bytes, which remain owned by the caller.
      *
-     * @return the events that are whole now; each one's bytes are the receiver's to release
+     * @return the events that are complete now; the receiver releases the bytes of each
      */
     List<Event> feed(ByteBuf bytes) {
         pending.writeBytes(bytes);
@@ -55,12 +55,12 @@
         return events;
     }
 
-    /** Returns whether a part of an event is left that has no end yet. */
+    /** Returns whether the start of an incomplete event is buffered. */
     boolean hasPartialEvent() {
         return pending.isReadable();
     }
 
-    /** Returns whether what came is too large to be an event. */
+    /** Returns whether the buffered bytes exceed the maximum size of an event. */
     boolean oversized() {
         return pending.readableBytes() > MAX_EVENT_BYTES;
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
@@ -36,17 +36,23 @@
 import org.tanagerhinge.node.log.LogLine;
 import org.tanagerhinge.node.metrics.NodeMetrics;
 
-/** What one node believes and does, on its event loop thread: the state that all exchanges share. */
+/**
+ * Holds the state that all exchanges of a gateway share. All methods run on the event loop thread unless stated
+ * otherwise.
+ */
 public final class Gateway {
-    /** Callers that are refused come back after this time and up to twice it, so that they don't return as one wave. */
+    /**
+     * Minimum Retry-After of a refusal; a random delay up to the same length is added so that callers do not return at
+     * once.
+     */
     private static final int MIN_RETRY_AFTER_MILLIS = 300;
-    /** Idle connections and silent servers are looked through this often, in milliseconds. */
+
     private static final long SWEEP_MILLIS = 250;
-    /** A server that owes events and says nothing for so long gets no new work: twice the longest usual pause. */
+    /** A server with open streams that sends nothing for this long gets no new requests. */
     private static final long SILENT_SERVER_MILLIS = 500;
-    /** Streams that can be resumed leave a server that has been silent for so long. */
+    /** Resumable streams move to another server after this long without an event. */
     private static final long ABANDON_STREAM_MILLIS = 900;
-    /** If this node itself stood still for longer than this, it can't tell who was silent. */
+    /** If a sweep is this late, the event loop was stalled and the silence of servers cannot be measured. */
     private static final long STALL_MILLIS = 2 * SWEEP_MILLIS;
 
     private final EventLoopGroup loop;
@@ -92,7 +98,7 @@
                 bounds.retryRatio(), bounds.retrySlack(), bounds.retryWindow().toMillis());
     }
 
-    /** Returns a gateway that knows nothing yet. */
+    /** Creates a gateway without a configuration and server list. */
     public static Gateway create(
             EventLoopGroup loop,
             Dialect dialect,
@@ -104,7 +110,7 @@
         return gateway;
     }
 
-    /** Returns the steady time in milliseconds; it has no relation to the time of day, which may jump. */
+    /** Returns the steady clock in milliseconds; unrelated to the wall clock, which may jump. */
     public long nowMillis() {
         return System.nanoTime() / 1_000_000;
     }
@@ -137,11 +143,11 @@
         return serverAnnouncements;
     }
 
-    /** Takes what a server says of itself in an answer. */
+    /** Records what a server announces about itself in a response. */
     private void responseReceived(ServerInstance server, int status, BackendResponseMetadata metadata) {
         long nowMillis = nowMillis();
         if (metadata.leaving() && serverAnnouncements.recordLeaving(server.instanceId(), nowMillis)) {
-            logServerLeaving(server.id(), "said so in an answer");
+            logServerLeaving(server.id(), "announced by the server in a response");
             count("server_leaving_said");
         }
         if (status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
@@ -156,10 +162,10 @@
         }
     }
 
-    /** A peer was told by a server that it leaves. */
+    /** Records a peer's report that a server instance has announced that it leaves. */
     void serverLeavingReported(String instanceId) {
         if (serverAnnouncements.recordPeerReportedLeaving(instanceId, nowMillis())) {
-            logServerLeaving(instanceId, "told by a peer");
+            logServerLeaving(instanceId, "reported by a peer");
             count("server_leaving_heard");
         }
     }
@@ -179,17 +185,17 @@
         return crashDetector;
     }
 
-    /** Tells {@code listener} of each request that this node has found to end servers. */
+    /** Registers the listener for each request that this node quarantines after repeated crashes. */
     void onQuarantine(Consumer<RequestFingerprint> listener) {
         quarantineListener = listener;
     }
 
-    /** Runs {@code listener} whenever there is news of suspected requests. */
+    /** Registers the listener for new suspicions against requests. */
     void onSuspicion(Runnable listener) {
         suspicionListener = listener;
     }
 
-    /** Tells {@code listener} the workspace of each request that a server begins. */
+    /** Registers the listener for the workspace of each request that a server starts to execute. */
     void onExecutionStarted(Consumer<String> listener) {
         executionListener = listener;
     }
@@ -198,28 +204,28 @@
         executionListener.accept(workspace);
     }
 
-    /** A server has ended while requests were in progress there. */
+    /** Records that a server crashed with these requests in flight, and quarantines repeated suspects. */
     void serverCrashed(ServerInstance server, Set<RequestFingerprint> requests) {
         for (RequestFingerprint request : requests) {
             if (quarantine.ended(request, server.instanceId(), nowMillis())) {
-                logQuarantine(request, "servers ended under it, " + server.id() + " the last");
+                logQuarantine(request, "servers crashed while running it; " + server.id() + " was the last");
                 quarantineListener.accept(request);
             }
         }
         suspicionListener.run();
     }
 
-    /** Takes what a peer tells of a request. */
+    /** Merges a peer's suspicion against a request. */
     void suspicionReceived(Quarantine.Suspicion suspicion) {
         if (quarantine.hear(suspicion, nowMillis())) {
-            logQuarantine(suspicion.request(), "told by a peer");
+            logQuarantine(suspicion.request(), "reported by a peer");
         }
     }
 
-    /** Takes a quarantine from the platform's store. */
+    /** Quarantines a request that the platform's store lists as quarantined. */
     void quarantinedInStore(RequestFingerprint request) {
         if (quarantine.hold(request, nowMillis())) {
-            logQuarantine(request, "told by the store");
+            logQuarantine(request, "listed in the store");
         }
     }
 
@@ -235,7 +241,7 @@
         return options.domain();
     }
 
-    /** Returns whether a mechanism is in use; an experiment may have switched it off. */
+    /** Returns whether a mechanism is enabled; an experiment may disable some. */
     boolean enabled(Mechanism mechanism) {
         return !options.disabledMechanisms().contains(mechanism);
     }
@@ -244,22 +250,22 @@
         return options;
     }
 
-    /** Takes bounds that have changed. */
+    /** Applies changed bounds. */
     void updateBounds(GatewayOptions.Bounds newer) {
         budget.terms(newer.retryRatio(), newer.retrySlack(), newer.retryWindow().toMillis());
     }
 
-    /** Returns the configuration in force, if there is one yet. */
+    /** Returns the active configuration, if there is one yet. */
     public Optional<RelayConfig> config() {
         return config;
     }
 
-    /** Returns the version of the configuration in force, 0 if there is none. */
+    /** Returns the version of the active configuration, or 0 if there is none. */
     long configVersion() {
         return config.map(RelayConfig::version).orElse(0L);
     }
 
-    /** Returns how old the list of servers is, in seconds; not a number if there is none. */
+    /** Returns the age of the server list in seconds, or NaN if there is none. */
     double serversAgeSeconds() {
         return directory.hasList() ? (nowMillis() - directory.newestListMillis()) / 1000.0 : Double.NaN;
     }
@@ -276,15 +282,15 @@
         return loop.next().schedule(() -> runGuarded(task), millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs a step now and again after each pause, also after one that threw. */
+    /** Runs a step now and again after each delay, also after a step that threw. */
     void repeat(Runnable step, LongSupplier delayMillis) {
         runGuarded(step);
         schedule(() -> repeat(step, delayMillis), delayMillis.getAsLong());
     }
 
     /**
-     * Runs a task of the event loop, which keeps what it throws to itself; returns whether it threw nothing. What goes wrong
-     * without it: a loop ends unseen with the first step that throws, and what it kept up to date stays as it is.
+     * Runs a task of the event loop and counts and logs what it throws; returns whether it completed normally. Without
+     * this, a repeated task would end silently at its first exception and leave its state stale.
      */
     boolean runGuarded(Runnable task) {
         try {
@@ -303,12 +309,12 @@
         metrics.count(reason);
     }
 
-    /** Returns the document of the configuration in force, as the operators wrote it. */
+    /** Returns the document of the active configuration as it was written. */
     Optional<byte[]> configDocument() {
         return Optional.ofNullable(configDocument);
     }
 
-    /** Puts a configuration in force unless a newer one is; returns whether it did. */
+    /** Activates a configuration unless the active one is as new; returns whether it did. */
     boolean apply(RelayConfig newer, byte[] document) {
         if (config.isPresent() && config.get().version() >= newer.version()) {
             return false;
@@ -326,7 +332,7 @@
         return true;
     }
 
-    /** Takes a list of registered servers that was asked for at a time; returns whether it changed anything. */
+    /** Applies a list of registered servers that was requested at a time; returns whether it changed anything. */
     boolean apply(List<ServerRegistration> registrations, long requestedAtMillis) {
         boolean wasInitialized = initialized();
         List<ServerChange> changes = directory.apply(registrations, requestedAtMillis);
@@ -351,7 +357,7 @@
         };
     }
 
-    /** Notes that a peer gave an engine parts of a prompt to read. */
+    /** Records that a peer sent a prompt with these parts to a server instance. */
     void promptSentByPeer(String instanceId, List<PromptPart> parts) {
         ServerInstance server = directory.instance(instanceId);
         if (server != null && config.isPresent()) {
@@ -359,7 +365,7 @@
         }
     }
 
-    /** Tells {@code listener} of each prompt that an engine is given to read. */
+    /** Registers the listener for each prompt that is sent to a server. */
     void onSent(BiConsumer<ServerInstance, Prompt> listener) {
         sentListener = listener;
     }
@@ -371,9 +377,9 @@
     }
 
     /**
-     * Returns the servers of a service that a request may be sent to: none that leaves or wants nothing for now. Ejected
-     * ones are left out as long as half of the servers are left: when most seem to fail, the cause is hardly theirs, and
-     * leaving them out would only crowd the rest.
+     * Returns the servers of a service that a request may be sent to, without those that leave or want no requests.
+     * Ejected servers are skipped while at least half of the servers are healthy; if most seem to fail, the cause is
+     * probably elsewhere and skipping them would overload the rest.
      */
     List<ServerInstance> candidates(String service, Set<String> triedServers, long nowMillis) {
         List<ServerInstance> open = directory.available(service).stream()
@@ -447,12 +453,12 @@
         }
     }
 
-    /** Notes whether peers tell what they have in progress, which is fresher than what servers tell. */
+    /** Records whether peers report their load, which is fresher than the load that servers report. */
     void peerLoadAvailable(boolean available) {
         peerLoadAvailable = available;
     }
 
-    /** Notes how many peers were heard of late. */
+    /** Records how many peers reported recently. */
     void peersPresent(int count) {
         peersPresent = count;
     }
@@ -461,7 +467,7 @@
         return peersPresent;
     }
 
-    /** Notes that another incarnation answers at a server's address. */
+    /** Records that another instance answers at a server's address. */
     void serverReplaced(ServerInstance server) {
         LogLine.of(LogEvent.SERVER_REPLACED)
                 .with(LogField.SERVER, server.id())
@@ -471,17 +477,20 @@
         placement.forgetInstance(server.instanceId());
     }
 
-    /** Returns a number drawn evenly from 0 to 1. */
+    /** Returns a uniformly distributed random number from 0 to 1. */
     double randomFraction() {
         return ThreadLocalRandom.current().nextDouble();
     }
 
-    /** Returns how long a caller that is refused should wait, in milliseconds. */
+    /** Returns how long a refused caller should wait, in milliseconds. */
     long retryAfterMillis() {
         return MIN_RETRY_AFTER_MILLIS + ThreadLocalRandom.current().nextInt(MIN_RETRY_AFTER_MILLIS);
     }
 
-    /** Returns how long a caller for whom there is no server should wait: until the first one takes requests again. */
+    /**
+     * Returns how long a caller should wait until the first server of a service accepts requests again, in
+     * milliseconds.
+     */
     long retryAfterMillis(String service) {
         long nowMillis = nowMillis();
         long firstMillis = directory.available(service).stream()
@@ -512,12 +521,12 @@
         inFlight = exchanges.size();
     }
 
-    /** Returns whether this node should be given new connections. */
+    /** Returns whether this node accepts new connections. */
     boolean ready() {
         return !draining && initialized();
     }
 
-    /** Returns whether this node knows a configuration and the servers. */
+    /** Returns whether this node has a configuration and a server list. */
     boolean initialized() {
         return config.isPresent() && directory.hasList();
     }
@@ -532,22 +541,22 @@
         return draining;
     }
 
-    /** Begins a planned stop: not ready any more, and every answer ends its connection. */
+    /** Begins a graceful stop: readiness turns false, and each response closes its connection. */
     void beginStop() {
         draining = true;
     }
 
-    /** Returns how many requests are in progress; from any thread. */
+    /** Returns the number of requests in flight; may be called from any thread. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Closes callers' connections on which nothing is in progress. */
+    /** Closes caller connections without a request in flight. */
     void closeIdleCallers() {
         Set.copyOf(callers).forEach(CallerConnection::closeIfIdle);
     }
 
-    /** Ends what is still in progress, at the bound of a planned stop. */
+    /** Aborts the requests still in flight when the time for a graceful stop runs out. */
     void abortExchanges() {
         Set.copyOf(exchanges).forEach(RelayExchange::abort);
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
@@ -33,18 +33,20 @@
 import org.tanagerhinge.node.log.LogSetup;
 import org.tanagerhinge.node.metrics.NodeMetrics;
 
-/** The daemon on an entry host: opens the doors, reads the store, stops as planned. */
+/** Runs a gateway as a daemon: opens its listeners, synchronizes with store and peers, and stops gracefully. */
 public final class GatewayDaemon implements Daemon {
     private static final Logger LOG = System.getLogger(GatewayDaemon.class.getName());
     private static final int BACKLOG = 1024;
     private static final int MAX_INITIAL_LINE_BYTES = 8192;
     private static final int MAX_HEADER_BYTES = 32_768;
     private static final int MAX_CHUNK_BYTES = 16_384;
-    /** Largest message of a peer, in bytes: the counts of thousands of workspaces. */
+    /** Maximum size of a peer's message; usage counts of thousands of workspaces fit in. */
     private static final int MAX_PEER_MESSAGE_BYTES = 1 << 20;
-    /** The platform sends connections until it has missed readiness twice, a second apart; some slack. */
+    /**
+     * Time until the platform stops sending connections: two missed readiness checks, one second apart, and a margin.
+     */
     private static final Duration READINESS_DETECTION = Duration.ofMillis(2_600);
-    /** What is kept of the time for a planned stop to end what is left, and to exit. */
+    /** Part of the stop timeout that is reserved for aborting requests and exiting. */
     private static final Duration EXIT_RESERVE = Duration.ofMillis(700);
 
     private final EventLoopGroup loop;
@@ -67,9 +69,9 @@
     /**
      * Starts a gateway.
      *
-     * @param store makes the client of the platform's store on the gateway's event loop
-     * @param dutyCalls makes what the calls of duties go through, if there are any
-     * @param early the socket for callers, if it was opened already
+     * @param storeFactory creates the client of the platform's store on the gateway's event loop
+     * @param dutyClientFactory creates the client for duty calls; not used without duties
+     * @param earlySocket the listening socket for callers, if it is open already
      */
     public static GatewayDaemon start(
             GatewayOptions options,
@@ -95,18 +97,18 @@
         return daemon;
     }
 
-    /** Shows what this node has in progress and how old its beliefs are, read on the event loop when it is asked for. */
+    /** Registers gauges for in-flight requests and the age of shared state; they are read on the event loop. */
     private void registerGauges(PeerSynchronizer peers) {
-        metrics.gauge("requests_in_progress", "Requests of callers in progress", gateway::inFlight);
-        metrics.gauge("config_version", "Version of the configuration in force", gateway::configVersion);
-        metrics.gauge("servers_age_seconds", "Age of the list of servers", gateway::serversAgeSeconds);
-        metrics.gauge("peers_present", "Peers heard of late", gateway::peersPresent);
-        metrics.gauge("peers_age_seconds", "Age of the oldest report of a present peer", peers::oldestReportSeconds);
+        metrics.gauge("requests_in_progress", "Requests in flight", gateway::inFlight);
+        metrics.gauge("config_version", "Version of the active configuration", gateway::configVersion);
+        metrics.gauge("servers_age_seconds", "Age of the server list", gateway::serversAgeSeconds);
+        metrics.gauge("peers_present", "Peers that reported recently", gateway::peersPresent);
+        metrics.gauge("peers_age_seconds", "Age of the oldest report among present peers", peers::oldestReportSeconds);
         duties.ifPresent(participant -> metrics.gauge(
                 "usage_coverage",
-                "Part of the known nodes whose counts the newest window held",
+                "Share of known nodes whose counts the latest usage window contains",
                 participant::coverage));
-        metrics.gauge("log_lines_dropped", "Log lines dropped since the start", LogSetup::dropped);
+        metrics.gauge("log_lines_dropped", "Log lines dropped since startup", LogSetup::dropped);
     }
 
     private static RelayConfig decode(MetadataStore client, byte[] document) {
@@ -173,12 +175,12 @@
                 .channel();
     }
 
-    /** A host on which the port for metrics is taken serves callers all the same. */
+    /** Listens if the address is available; callers are served even if the metrics port is taken. */
     private void tryListen(InetSocketAddress address, ChannelHandler handler) {
         try {
             listen(address, handler);
         } catch (ChannelException e) {
-            LOG.log(Level.WARNING, "metrics are not shown at " + address + ": " + e.getMessage());
+            LOG.log(Level.WARNING, "metrics are not available at " + address + ": " + e.getMessage());
         }
     }
 
@@ -195,27 +197,27 @@
                 .channel();
     }
 
-    /** Returns the metrics. */
+    /** Returns the metrics of this node. */
     public NodeMetrics metrics() {
         return metrics;
     }
 
-    /** Returns whether the platform may send this node new connections. */
+    /** Returns whether this node accepts new connections. */
     public boolean ready() {
         return loop.next().submit(gateway::ready).awaitUninterruptibly().getNow();
     }
 
-    /** Returns the version of the configuration in force, 0 if there is none. */
+    /** Returns the version of the active configuration, or 0 if there is none. */
     public long configVersion() {
         return loop.next().submit(gateway::configVersion).awaitUninterruptibly().getNow();
     }
 
-    /** Returns where callers connect. */
+    /** Returns the address at which callers connect. */
     public InetSocketAddress address() {
         return (InetSocketAddress) callerListener.localAddress();
     }
 
-    /** Takes bounds that have changed; addresses and names are those of the start. */
+    /** Applies changed bounds; addresses and names keep their values from startup. */
     public void updateBounds(GatewayOptions.Bounds newer) {
         stopTimeout = newer.stopTimeout();
         loop.next().execute(() -> gateway.updateBounds(newer));
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayOptions.java
@@ -8,16 +8,17 @@
 import org.tanagerhinge.core.relay.Mechanism;
 
 /**
- * What a gateway is told by its settings.
+ * Holds the settings of a gateway.
  *
+ * @param name name of this node
  * @param domain failure domain of this host
- * @param listen where callers connect
- * @param status where the platform asks for readiness, and where metrics are
- * @param metrics where metrics are shown besides, if anywhere: a platform may fetch them at one port on all hosts
- * @param peers where other gateways send what they know, over UDP, and ask for more, over TCP
- * @param bounds the platform's bounds
- * @param duties how duties are done, if the platform asks for any
- * @param off mechanisms that an experiment switches off; none otherwise
+ * @param listenAddress address for callers
+ * @param statusAddress address for readiness checks and metrics
+ * @param metricsAddress additional address for metrics, for platforms that scrape one port on all hosts
+ * @param peerAddress address for peer gateways: state reports over UDP, requests over TCP
+ * @param bounds the platform's limits
+ * @param duties settings of duties, if the platform uses any
+ * @param disabledMechanisms mechanisms that an experiment disables; empty otherwise
  */
 public record GatewayOptions(
         String name,
@@ -29,7 +30,7 @@
         Bounds bounds,
         Optional<DutyOptions> duties,
         Set<Mechanism> disabledMechanisms) {
-    /** Returns these options with no budget for repeats: the plain baseline that the product is compared with. */
+    /** Returns these options without a retry budget, the baseline that the product is compared with. */
     public GatewayOptions withoutRetries() {
         Bounds none = new Bounds(bounds.stopTimeout(), 0, 0, bounds.retryWindow());
         return new GatewayOptions(
@@ -45,18 +46,19 @@
     }
 
     /**
-     * DutyParticipant that one node does for all.
+     * Holds the settings of duties that one node performs for all.
      *
-     * @param power how well this node could bear one, greater is better
+     * @param hostCapacity suitability of this host as holder, greater is better
      */
     public record DutyOptions(DutySettings settings, int hostCapacity) {}
 
     /**
-     * Bounds within which the platform wants things done.
+     * Holds the limits that the platform sets.
      *
-     * @param stopTimeout from SIGTERM until the process is killed
-     * @param retryRatio repeats for each request, of all nodes in a window
-     * @param retrySlack repeats besides, of all nodes in a window
+     * @param stopTimeout time from SIGTERM until the process is killed
+     * @param retryRatio retries per request, over all nodes in a window
+     * @param retrySlack additional retries, over all nodes in a window
+     * @param retryWindow length of the window
      */
     public record Bounds(Duration stopTimeout, double retryRatio, double retrySlack, Duration retryWindow) {}
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/HopByHopHeaders.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/HopByHopHeaders.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 
-/** Headers that concern a single connection and are never passed on. */
+/** Removes hop-by-hop headers, which concern a single connection and are not forwarded. */
 final class HopByHopHeaders {
     private static final List<CharSequence> NAMES = List.of(
             HttpHeaderNames.CONNECTION,
@@ -20,7 +20,7 @@
 
     private HopByHopHeaders() {}
 
-    /** Removes the headers of a connection, those that its Connection header names among them. */
+    /** Removes all hop-by-hop headers, including those that the Connection header names. */
     static void remove(HttpHeaders headers) {
         for (String line : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String name : line.split(",")) {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/InstrumentedStore.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/InstrumentedStore.java
@@ -8,7 +8,7 @@
 import org.tanagerhinge.core.relay.RelayConfig;
 import org.tanagerhinge.node.metrics.NodeMetrics;
 
-/** Measures how long each call of the platform's store takes, and how it ends. */
+/** Measures duration and outcome of each call to the platform's store. */
 final class InstrumentedStore implements MetadataStore {
     private final MetadataStore store;
     private final NodeMetrics metrics;
@@ -18,7 +18,7 @@
         this.metrics = metrics;
     }
 
-    /** Returns a store that makes the calls of another one. */
+    /** Returns a store that delegates to another one and records metrics. */
     static InstrumentedStore of(MetadataStore store, NodeMetrics metrics) {
         return new InstrumentedStore(store, metrics);
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/MetadataStore.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/MetadataStore.java
@@ -8,70 +8,70 @@
 import org.tanagerhinge.core.relay.RelayConfig;
 import org.tanagerhinge.core.relay.ServerRegistration;
 
-/** The calls to the platform's store that a gateway makes; callbacks come on the event loop. */
+/** Defines the calls of a gateway to the platform's store; callbacks run on the event loop. */
 public interface MetadataStore {
-    /** Reads the servers' registrations; fails if a page has no answer within a time in milliseconds. */
+    /** Lists the registered servers; fails if a page is not answered within a time in milliseconds. */
     void listServers(long timeoutMillis, Consumer<Reply<ServerListing>> onReply);
 
-    /** Reads the newest configuration; fails if there is no answer within a time in milliseconds. */
+    /** Reads the newest configuration; fails if there is no response within a time in milliseconds. */
     void readConfig(long timeoutMillis, Consumer<Reply<StoredConfig>> onReply);
 
     /**
      * Waits for a configuration that is newer than a revision of the store.
      *
-     * @param waitMillis how long the store may wait for one
-     * @param done gets the newest configuration, or one without content if there is none
+     * @param waitMillis how long the store may wait, in milliseconds
+     * @param onReply receives the newest configuration, or one without a document if nothing changed
      */
     void watchConfig(long revision, long waitMillis, Consumer<Reply<StoredConfig>> onReply);
 
-    /** Reads a configuration document. */
+    /** Decodes a configuration document. */
     RelayConfig decodeConfig(byte[] document) throws IOException;
 
     /**
-     * Tells the other gateways where this one answers, for as long as a lease is kept.
+     * Registers the address of this gateway for its peers under a new lease.
      *
      * @param address IP:PORT
-     * @param done gets the lease
+     * @param onReply receives the lease id
      */
     void registerGateway(String name, String address, Duration leaseTtl, Consumer<Reply<Long>> onReply);
 
-    /** Keeps a lease; {@code done} gets whether it still holds. */
+    /** Renews a lease; {@code onReply} receives whether it was still valid. */
     void keepAlive(long leaseId, Consumer<Reply<Boolean>> onReply);
 
-    /** Reads where the gateways answer each other, IP:PORT each. */
+    /** Lists the peer addresses of all gateways, as IP:PORT. */
     void listGateways(Consumer<Reply<List<String>>> onReply);
 
-    /** Keeps a request in quarantine for a time, also for gateways that start later. */
+    /** Stores a request as quarantined for a time, also for gateways that start later. */
     void quarantine(RequestFingerprint request, Duration duration, Consumer<Reply<Long>> onReply);
 
-    /** Reads which requests are in quarantine. */
+    /** Lists the quarantined requests. */
     void listQuarantined(Consumer<Reply<List<RequestFingerprint>>> onReply);
 
     /**
-     * The servers' registrations as the store holds them.
+     * Holds the server registrations in the store.
      *
-     * @param unreadable entries that name no server, since another writer left something else there
+     * @param unreadable entries that are not valid registrations
      */
     record ServerListing(List<ServerRegistration> servers, List<UnreadableEntry> unreadable) {}
 
-    /** A key of the store under which there is no registration, and what is wrong with what stands there. */
+    /** Names a key whose value is not a valid registration, and the reason. */
     record UnreadableEntry(String key, String reason) {}
 
     /**
-     * A configuration as the store holds it.
+     * Holds a configuration from the store.
      *
-     * @param revision the store's revision up to which changes are taken in
+     * @param revision the store revision up to which changes are included
      * @param document null if nothing has changed
      */
     record StoredConfig(long revision, byte[] document) {}
 
-    /** What became of a call. */
+    /** Represents the outcome of a call. */
     sealed interface Reply<T> {
-        /** Returns the word for it in metrics. */
+        /** Returns the label of the outcome in metrics. */
         String result();
     }
 
-    /** The call was answered. */
+    /** Holds the result of a successful call. */
     record Success<T>(T value) implements Reply<T> {
         @Override
         public String result() {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** The store has no history as old as was asked for. */
+    /** Reports that the requested revision has been compacted. */
     record HistoryCompacted<T>() implements Reply<T> {
         @Override
         public String result() {
@@ -87,7 +87,7 @@
         }
     }
 
-    /** The call failed; whether it was carried out is not known. */
+    /** Reports a failed call; it may or may not have been executed. */
     record Failure<T>(String reason) implements Reply<T> {
         @Override
         public String result() {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
@@ -24,20 +24,20 @@
 import org.tanagerhinge.wire.peer.ServiceDemand;
 import org.tanagerhinge.wire.peer.SuspectedRequest;
 
-/** Translates between what gateways tell each other and the messages that carry it. */
+/** Encodes and decodes the messages between peer gateways. */
 final class PeerCodec {
     private PeerCodec() {}
 
-    /** Parts of prompts that a node gave a backend server to read. */
+    /** Holds the parts of a prompt that a node sent to a server instance, which caches them. */
     record CachedPrefix(String instanceId, List<PromptPart> parts) {}
 
     /**
-     * A report with what isn't told in each of them.
+     * Holds a peer's report with the changes since its last one.
      *
-     * @param kept parts of prompts that were given out since the last one
-     * @param suspicions requests under which servers have ended
-     * @param leaving lives of servers that have said that they leave
-     * @param duty what the node tells of duties
+     * @param cachedPrefixes prompt parts that were sent to servers since the last report
+     * @param suspicions requests suspected of crashing servers
+     * @param leavingInstances ids of server instances that have announced that they leave
+     * @param dutyStatus the node's announcement for duties
      */
     record PeerMessage(
             PeerReport report,
@@ -46,7 +46,7 @@
             List<String> leavingInstances,
             DutyAnnouncement dutyStatus) {}
 
-    /** A server list with its age in milliseconds. */
+    /** Holds a server list and its age in milliseconds. */
     record ServerSnapshot(List<ServerRegistration> list, long ageMillis) {}
 
     static byte[] encodeState(PeerMessage message) {
@@ -183,12 +183,12 @@
         return new ServerSnapshot(servers, list.getAgeMillis());
     }
 
-    /** Returns an address as IP:PORT. */
+    /** Formats an address as IP:PORT. */
     static String text(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
 
-    /** Returns the address that an IP:PORT text names. */
+    /** Parses an address of the form IP:PORT. */
     static InetSocketAddress address(String text) throws InvalidProtocolBufferException {
         int colon = text.lastIndexOf(':');
         try {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerRequestHandler.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerRequestHandler.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import org.tanagerhinge.core.relay.ServerInstance;
 
-/** Answers peers that are behind with this gateway's configuration and server list, and hears what they have counted. */
+/** Serves this gateway's configuration and server list to peers, and accepts their usage reports. */
 final class PeerRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     static final String CONFIG_PATH = "/configuration";
     static final String SERVERS_PATH = "/servers";
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerSynchronizer.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerSynchronizer.java
@@ -40,15 +40,15 @@
 import org.tanagerhinge.node.log.LogLine;
 
 /**
- * What this gateway tells its peers and hears from them: load, demand, what engines hold, and how new its configuration
- * and server list are. Who is behind asks the peer that is ahead.
+ * Exchanges state reports with peer gateways over UDP: load, demand, cached prefixes, and the versions of configuration
+ * and server list. A gateway with an older version requests the newer one from the peer over TCP.
  */
 final class PeerSynchronizer {
     private static final Logger LOG = System.getLogger(PeerSynchronizer.class.getName());
     private static final long REQUEST_TIMEOUT_MILLIS = 700;
-    /** Connections to a server that has ended break within this time, in milliseconds. */
+    /** Delay that collects the broken connections of one crash in a single report. */
     private static final long BATCH_DELAY_MILLIS = 20;
-    /** A list that is this much newer than this gateway's own is worth asking for, in milliseconds. */
+    /** Minimum age difference at which a peer's newer server list is requested. */
     private static final long MIN_AGE_GAIN_MILLIS = 50;
 
     private final Gateway gateway;
@@ -82,7 +82,7 @@
         this.decoder = decoder;
     }
 
-    /** Opens the datagram socket and begins to report. */
+    /** Opens the datagram socket and starts reporting. */
     static PeerSynchronizer open(Gateway gateway, EventLoopGroup loop, Function<byte[], RelayConfig> decoder) {
         PeerSynchronizer peers = new PeerSynchronizer(gateway, loop, decoder);
         peers.channel = new Bootstrap()
@@ -101,7 +101,7 @@
         return table;
     }
 
-    /** Returns where this gateway answers its peers. */
+    /** Returns the address of this gateway for its peers, as IP:PORT. */
     String address() {
         return PeerCodec.text(gateway.options().peerAddress());
     }
@@ -110,12 +110,12 @@
         storeReachable = supplier;
     }
 
-    /** Runs {@code listener} whenever a peer that has a newer configuration didn't give it. */
+    /** Registers the listener for failures to fetch a newer configuration from a peer. */
     void onConfigFetchFailed(Runnable listener) {
         configFetchFailureListener = listener;
     }
 
-    /** Tells {@code word} of duties with each report, and {@code listener} what each peer tells of them. */
+    /** Sends {@code status} with each report, and passes the status of each peer to {@code listener}. */
     void exchangeDutyStatus(Supplier<DutyAnnouncement> status, BiConsumer<String, DutyAnnouncement> listener) {
         dutyStatus = status;
         dutyListener = listener;
@@ -129,7 +129,7 @@
         return incarnation;
     }
 
-    /** Takes the addresses at which gateways answer, from the platform's store. */
+    /** Adds peer addresses from the platform's store, and reports to them. */
     void addresses(List<String> addressTexts) {
         for (String text : addressTexts) {
             addPeerAddress(text);
@@ -143,11 +143,11 @@
                 addresses.add(PeerCodec.address(text));
             }
         } catch (InvalidProtocolBufferException e) {
-            LOG.log(Level.WARNING, "address of a peer: " + e.getMessage());
+            LOG.log(Level.WARNING, "ignoring malformed peer address: " + e.getMessage());
         }
     }
 
-    /** Notes that a server was given a request: its prompt's parts are told with the next report. */
+    /** Records a prompt that was sent to a server; its shared parts go into the next report. */
     void promptSent(ServerInstance server, Prompt prompt) {
         reportIfDue(prompt.inputTokens());
         if (pendingPrefixes.size() < ReportSchedule.MAX_PROMPTS_PER_REPORT
@@ -163,7 +163,7 @@
         sendReport(gateway.quarantine().standing(gateway.nowMillis()));
     }
 
-    /** Returns the time between two reports of a node whose load hardly changes; it grows with the number of peers. */
+    /** Returns the interval between reports while the load hardly changes; it grows with the number of peers. */
     long intervalMillis() {
         return ReportSchedule.idleIntervalMillis(addresses.size());
     }
@@ -176,7 +176,7 @@
         }
     }
 
-    /** Tells peers of what happens in these moments in one report: a server that ends breaks many connections. */
+    /** Reports after a short delay, so that the many broken connections of one crash share a report. */
     private void reportSoon() {
         if (!reportScheduled) {
             reportScheduled = true;
@@ -189,14 +189,14 @@
         }
     }
 
-    /** Sends this gateway's state to all peers now. */
+    /** Sends this gateway's state to all peers immediately. */
     void reportNow() {
         sendReport(List.of());
     }
 
     /**
-     * Sends this gateway's state to all peers, and to the one whose turn it is what stands of suspected requests as well: a peer
-     * that was cut off hears of it from one of the others soon, however many there are, and no node sends it to all.
+     * Sends this gateway's state to all peers, and the standing suspicions to one peer in turn. A peer that missed
+     * earlier reports thus learns of all suspicions soon, without any node sending them to everyone.
      */
     private void sendReport(List<Quarantine.Suspicion> standing) {
         PeerReport state = currentReport();
@@ -282,8 +282,8 @@
     }
 
     /**
-     * Gives placement what one peer's report has changed. Adding up all peers' at each report would cost a node of a large
-     * system the square of their number; that is done four times a second, when those that have fallen silent drop out.
+     * Applies the load change of one peer's report. Recomputing the totals for each report would cost quadratic time in
+     * the number of peers; they are recomputed periodically, when silent peers drop out.
      */
     private void applyLoadChange(
             Map<String, PeerReport.InstanceLoad> before, Map<String, PeerReport.InstanceLoad> after) {
@@ -294,7 +294,7 @@
         load.applyChange(before, after);
     }
 
-    /** Gives placement what the peers have in progress and what their callers ask. */
+    /** Recomputes the load and demand of all present peers. */
     private void refreshTotals() {
         long nowMillis = gateway.nowMillis();
         boolean anyPresent = table.anyPresent(nowMillis) && gateway.enabled(Mechanism.PEER_LOAD);
@@ -323,7 +323,7 @@
         gateway.peersPresent(nowPresent.size());
     }
 
-    /** Returns the age of the oldest report of a present peer, in seconds; not a number without one. */
+    /** Returns the age of the oldest report of a present peer in seconds, or NaN if there is none. */
     double oldestReportSeconds() {
         long nowMillis = gateway.nowMillis();
         return table.peers().stream()
@@ -344,7 +344,9 @@
                 try {
                     gateway.apply(decoder.apply(body), body);
                 } catch (IllegalArgumentException e) {
-                    LOG.log(Level.ERROR, "configuration of peer " + aheadPeer.name() + ": " + e.getMessage());
+                    LOG.log(
+                            Level.ERROR,
+                            "ignoring invalid configuration from peer " + aheadPeer.name() + ": " + e.getMessage());
                 }
             }
             if (gateway.configVersion() < aheadPeer.configVersion()) {
@@ -354,8 +356,8 @@
     }
 
     /**
-     * Datagrams come from a peer that can't be asked: packets get through one way only, or it takes no connection. Its reports
-     * alone keep this gateway from reading the store, so for as long as that lasts it would stay behind without an end.
+     * Reports a peer whose datagrams arrive but that cannot be queried. Its reports keep this gateway from reading the
+     * store, so without this the gateway would keep an old configuration.
      */
     private void configFetchFailed(PeerReport aheadPeer) {
         gateway.count("peer_ask_failed");
@@ -382,7 +384,9 @@
                     PeerCodec.ServerSnapshot servers = PeerCodec.decodeServers(body);
                     gateway.apply(servers.list(), requestedAtMillis - servers.ageMillis());
                 } catch (IOException e) {
-                    LOG.log(Level.ERROR, "server list of peer " + aheadPeer.name() + ": " + e.getMessage());
+                    LOG.log(
+                            Level.ERROR,
+                            "ignoring invalid server list from peer " + aheadPeer.name() + ": " + e.getMessage());
                 }
             }
         });
@@ -403,7 +407,7 @@
         });
     }
 
-    /** Takes the reports that arrive. */
+    /** Receives the state reports of peers. */
     private final class ReportHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Refusal.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Refusal.java
@@ -3,14 +3,14 @@
 import org.tanagerhinge.core.result.ResultCode;
 
 /**
- * A final answer of the relay's own.
+ * Describes a response that the relay gives instead of a backend server.
  *
- * @param status HTTP status; 429 and 503 promise that the request has not run and won't
+ * @param status HTTP status; 429 and 503 guarantee that the request was not and will not be executed
  * @param code numbered result, for logs, metrics and the caller
- * @param retryAfterMillis when the caller may come back; 0 to say nothing of it
+ * @param retryAfterMillis when the caller may retry, in milliseconds; 0 for no statement
  */
 record Refusal(int status, ResultCode code, long retryAfterMillis) {
-    /** Returns what the caller may take for known of whether its request ran. */
+    /** Returns the log label that says whether the request may have been executed. */
     String executionStatus() {
         return status == 503 || status < 500 ? "not_run" : "unknown";
     }
@@ -19,7 +19,7 @@
         return new Refusal(status, code, 0);
     }
 
-    /** Returns the refusal of a request that has not run and won't. */
+    /** Returns the refusal of a request that was not and will not be executed. */
     static Refusal notRun(ResultCode code, long retryAfterMillis) {
         return new Refusal(503, code, retryAfterMillis);
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
@@ -24,13 +24,17 @@
 import org.tanagerhinge.core.relay.RouteKind;
 import org.tanagerhinge.core.relay.ServerInstance;
 
-/** One request at one backend server: sends it, and passes on what of the answer is whole and not yet known. */
+/**
+ * Sends a request to one backend server, and forwards the part of the response that the caller has not yet received.
+ */
 final class RelayAttempt implements AttemptListener {
-    /** Answers up to this size are held until they are whole, so that a broken one can be asked for again, in bytes. */
+    /** Responses up to this size are buffered until complete, so that a broken one can be retried. */
     private static final int MAX_BUFFERED_BYTES = 256 * 1024;
-    /** A safe request that has no answer after this many times its target is tried elsewhere. */
+    /** Multiple of its latency target after which a safe request without a response is tried elsewhere. */
     private static final int SILENCE_TIMEOUT_FACTOR = 3;
-    /** Longest idle time of a connection for a request that can't be sent again if its close crosses it. */
+    /**
+     * Maximum idle time of a connection for non-idempotent requests, which cannot be retried if the server closes it.
+     */
     private static final long MAX_IDLE_NON_IDEMPOTENT_MILLIS = 1_500;
 
     private final Gateway gateway;
@@ -70,17 +74,17 @@
         return server;
     }
 
-    /** Returns when the attempt began, in milliseconds. */
+    /** Returns the start time of the attempt, in milliseconds. */
     long startedAtMillis() {
         return startedAtMillis;
     }
 
-    /** Returns whether the request was handed to a connection, so that it may be running. */
+    /** Returns whether the request was handed to a connection, so that the server may be executing it. */
     boolean sent() {
         return sent;
     }
 
-    /** Takes a kept connection, or makes one, and sends the request. */
+    /** Takes a pooled connection or opens one, and sends the request. */
     void start() {
         gateway.requestSent(request, placed);
         firstOutputWait = RankGate.PendingRequest.of(
@@ -98,7 +102,7 @@
                     gateway.pool().release(fresh);
                 }
             } else if (fresh == null) {
-                fail(AttemptEnd.NOT_SENT, "no connection");
+                fail(AttemptEnd.NOT_SENT, "could not connect");
             } else {
                 transmit(fresh);
             }
@@ -115,24 +119,24 @@
         }
     }
 
-    /** The server has said nothing for so long that another one is the better choice. */
+    /** Abandons a server that has not responded in time if the retry budget allows another attempt. */
     private void responseTimedOut() {
         if (!finished && response == null && exchange.takeRetryBudget()) {
             retryBudgetTaken = true;
             connection.abort();
-            fail(AttemptEnd.SILENT, "no answer in time");
+            fail(AttemptEnd.SILENT, "no response in time");
         }
     }
 
-    /** Leaves a server that owes events of a stream and has said nothing for longer than a time. */
+    /** Abandons a streaming server that has sent nothing for longer than a time. */
     void abandonIfSilent(long silentMillis) {
         if (streaming && server.silenceMillis(gateway.nowMillis()) > silentMillis) {
             connection.abort();
-            fail(AttemptEnd.SILENT, "server fell silent");
+            fail(AttemptEnd.SILENT, "server stopped sending events");
         }
     }
 
-    /** The caller reads again, or has stopped reading. */
+    /** Stops or resumes reading from the server with the caller. */
     void callerWritabilityChanged(boolean writable) {
         if (connection != null) {
             connection.setReading(writable);
@@ -146,9 +150,9 @@
         metadata.load().ifPresent(load -> gateway.loadReported(server, load));
         if (status == 421) {
             gateway.serverReplaced(server);
-            failKeepingConnection(AttemptEnd.WRONG_SERVER, "another server has the address");
+            failKeepingConnection(AttemptEnd.WRONG_SERVER, "another server instance answers at this address");
         } else if (metadata.notExecuted()) {
-            failKeepingConnection(AttemptEnd.NOT_RUN, "server refused with " + status);
+            failKeepingConnection(AttemptEnd.NOT_RUN, "server rejected the request with status " + status);
         } else {
             handleResponse(response, metadata);
         }
@@ -161,12 +165,12 @@
         }
         if (!acceptable(response, metadata)) {
             connection.abort();
-            fail(AttemptEnd.BROKEN, "answer without signature or with a coding");
+            fail(AttemptEnd.BROKEN, "response is unsigned or has a content coding");
         } else if (status >= 500 && progress.headForwarded()) {
-            failKeepingConnection(AttemptEnd.SERVER_ERROR, "server answered " + status);
+            failKeepingConnection(AttemptEnd.SERVER_ERROR, "server responded with status " + status);
         } else if (status >= 500 && exchange.takeRetryBudget()) {
             retryBudgetTaken = true;
-            failKeepingConnection(AttemptEnd.SERVER_ERROR, "server answered " + status);
+            failKeepingConnection(AttemptEnd.SERVER_ERROR, "server responded with status " + status);
         } else {
             beginResponse(response, metadata);
         }
@@ -186,7 +190,7 @@
         }
         if (progress.headForwarded()) {
             connection.abort();
-            fail(AttemptEnd.CUT, "server answered " + status + " to a resume");
+            fail(AttemptEnd.CUT, "server responded with status " + status + " to a resumed stream");
             return;
         }
         buffered = Unpooled.compositeBuffer(64);
@@ -225,7 +229,7 @@
         }
         if (!finished && events.oversized()) {
             connection.abort();
-            fail(AttemptEnd.BROKEN, "event without an end");
+            fail(AttemptEnd.BROKEN, "unterminated event exceeds 1 MiB");
         }
     }
 
@@ -243,7 +247,7 @@
     @Override
     public void responseCompleted() {
         if (events != null && events.hasPartialEvent()) {
-            fail(progress.headForwarded() ? AttemptEnd.CUT : AttemptEnd.BROKEN, "stream ended within an event");
+            fail(progress.headForwarded() ? AttemptEnd.CUT : AttemptEnd.BROKEN, "stream ended inside an event");
             return;
         }
         release();
@@ -276,7 +280,7 @@
         fail(progress.headForwarded() && end == AttemptEnd.BROKEN ? AttemptEnd.CUT : end, reason);
     }
 
-    /** Leaves the rest of an answer that isn't wanted to the connection, which stays of use. */
+    /** Fails the attempt but lets the connection discard the rest of the response and stay usable. */
     private void failKeepingConnection(AttemptEnd end, String reason) {
         connection.detach(() -> {});
         fail(end, reason);
@@ -291,7 +295,7 @@
         exchange.attemptFailed(this, end, reason, retryBudgetTaken);
     }
 
-    /** Stops the attempt because nobody waits for it any more. */
+    /** Cancels the attempt because its response is no longer needed. */
     void cancel() {
         release();
         releaseBuffered();
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
@@ -28,14 +28,11 @@
 import org.tanagerhinge.core.relay.WorkspaceConfig;
 import org.tanagerhinge.core.result.ResultCode;
 
-/** One request of a caller, from its last byte to the last byte of its answer. */
+/** Relays one request of a caller: resolves its route, makes attempts at backend servers, and writes the response. */
 final class RelayExchange {
-    /**
-     * How long a request waits for a gateway that has just started to learn its configuration: that takes a tenth of a
-     * second, and a caller that is sent away comes back later than that.
-     */
+    /** Time that a request waits for a starting gateway to load its configuration before it is refused. */
     private static final long INITIALIZATION_TIMEOUT_MILLIS = 400;
-    /** ServerSnapshot that fail requests answer with such a status without running them. */
+    /** Lowest status that does not clear a suspicion: failing servers send it without executing the request. */
     private static final int MIN_ERROR_STATUS = 400;
 
     private final Gateway gateway;
@@ -71,13 +68,13 @@
         this.telemetry = RequestTelemetry.of(gateway, metadata.attemptId(), arrivedAtMillis);
     }
 
-    /** Returns an exchange for a request that was read whole; its body is taken over. */
+    /** Returns an exchange for a completely read request, and takes ownership of its body. */
     static RelayExchange of(
             Gateway gateway, CallerConnection caller, HttpRequest head, ByteBuf body, long arrivedAtMillis) {
         return new RelayExchange(gateway, caller, head, body, arrivedAtMillis);
     }
 
-    /** Finds the route and sends the request, or refuses it. */
+    /** Resolves the route and sends the request, or refuses it. */
     void start() {
         gateway.exchangeStarted(this);
         if (!gateway.initialized()) {
@@ -87,7 +84,7 @@
         resolveRoute();
     }
 
-    /** The gateway has its first configuration and server list: whoever waited for them goes on. */
+    /** Continues a request that waited for the gateway's first configuration and server list. */
     void gatewayInitialized() {
         if (!finished && route == null && timer != null) {
             timer.cancel(false);
@@ -130,7 +127,8 @@
         if (quarantinedMillis.isPresent()) {
             telemetry.quarantined(fingerprint());
             endWithoutResponse(
-                    "servers end under it", Refusal.notRun(ResultCode.REQUEST_HELD, quarantinedMillis.getAsLong()));
+                    "request is quarantined: servers crashed while running it",
+                    Refusal.notRun(ResultCode.REQUEST_HELD, quarantinedMillis.getAsLong()));
             return;
         }
         List<ServerInstance> candidates = gateway.candidates(service, triedServers, nowMillis);
@@ -159,7 +157,9 @@
         attempt.start();
     }
 
-    /** Refuses a request of the last rank that couldn't be in time where it would go; returns whether it did. */
+    /**
+     * Refuses a least urgent request that could not be answered in time at the chosen server; returns whether it did.
+     */
     private boolean rejectedByAdmission(PlacementPolicy.Decision placed) {
         if (history.sends() > 0
                 || !gateway.enabled(Mechanism.ADMISSION)
@@ -183,10 +183,14 @@
 
     private void failWithoutServer() {
         endWithoutResponse(
-                "no server to go on at", Refusal.notRun(ResultCode.NO_SERVER, gateway.retryAfterMillis(service)));
+                "no server available for another attempt",
+                Refusal.notRun(ResultCode.NO_SERVER, gateway.retryAfterMillis(service)));
     }
 
-    /** Ends the exchange without an answer of a server: {@code notRun} is told only if no server may have run it. */
+    /**
+     * Ends the exchange without a server's response; uses {@code refusalIfNotRun} only if no server may have executed
+     * the request.
+     */
     private void endWithoutResponse(String reason, Refusal refusalIfNotRun) {
         if (progress.headForwarded()) {
             truncate(reason);
@@ -197,7 +201,7 @@
         }
     }
 
-    // ---- what an attempt asks of its request
+    // ---- used by attempts
 
     CallerConnection caller() {
         return caller;
@@ -215,7 +219,7 @@
         return head.method();
     }
 
-    /** Returns what is equal for the same request under another id. */
+    /** Returns the fingerprint, which is equal for retries of the same request under other ids. */
     RequestFingerprint fingerprint() {
         if (fingerprint == null) {
             fingerprint = RequestFingerprint.of(
@@ -236,12 +240,12 @@
         return config.priorityLevel(workspace, route, service, placed.step());
     }
 
-    /** Returns the time until the request is given up, in milliseconds. */
+    /** Returns the time until the deadline, in milliseconds. */
     long remainingMillis() {
         return deadlineMillis - gateway.nowMillis();
     }
 
-    /** Returns the request as it is sent to the server of a choice; its body is shared with this one. */
+    /** Returns the request for the chosen server; it shares the body of this one. */
     FullHttpRequest backendRequest(PlacementPolicy.Decision placed) {
         HttpHeaders headers = head.headers().copy();
         HopByHopHeaders.remove(headers);
@@ -274,14 +278,17 @@
         return method.equals(HttpMethod.GET) || method.equals(HttpMethod.HEAD) || method.equals(HttpMethod.DELETE);
     }
 
-    /** Returns whether the request may go to another server though its attempt has run, and takes that from the budget. */
+    /** Takes a retry from the budget for a request that may have been executed; returns whether it may be retried. */
     boolean takeRetryBudget() {
         return gateway.enabled(Mechanism.RETRIES)
                 && history.couldRepeatAfterRun(remainingMillis())
                 && gateway.budget().take(service, gateway.nowMillis());
     }
 
-    /** Its attempt has failed; {@code paid} says whether the budget was asked already. */
+    /**
+     * Retries a failed attempt or ends the exchange; {@code retryBudgetTaken} tells whether the budget was charged
+     * already.
+     */
     void attemptFailed(RelayAttempt ended, AttemptEnd end, String reason, boolean retryBudgetTaken) {
         history.ended(end.mayHaveRun());
         if (end.mayHaveRun()) {
@@ -314,7 +321,7 @@
         return route.resumable() && gateway.enabled(Mechanism.RESUME);
     }
 
-    /** A server has begun to run it, as far as can be known: it has answered, or its connection broke under the request. */
+    /** Records that a server has probably started to execute the request: it responded, or its connection broke. */
     void markExecutionStarted() {
         if (!executionStarted) {
             executionStarted = true;
@@ -322,7 +329,7 @@
         }
     }
 
-    /** Its attempt has brought a whole answer, which is about to be written to the end. */
+    /** Ends the exchange after a complete response, whose last part is written next. */
     void responseCompleted(int status, ServerInstance server) {
         attempt = null;
         gateway.responseReceived(server, status);
@@ -333,7 +340,7 @@
         finish();
     }
 
-    // ---- ends
+    // ---- end of the exchange
 
     private void deadlineExpired() {
         if (finished) {
@@ -343,7 +350,7 @@
         boolean sent = attempt != null && attempt.sent();
         cancelAttempt();
         if (progress.headForwarded()) {
-            truncate("time is up");
+            truncate("deadline expired");
         } else if (sent || history.mayHaveRun()) {
             refuse(Refusal.of(504, ResultCode.ANSWER_TOO_LATE));
         } else {
@@ -351,7 +358,7 @@
         }
     }
 
-    /** The caller has closed its connection: whatever works for it is stopped. */
+    /** Cancels the attempt since the caller has closed its connection. */
     void callerDisconnected() {
         if (finished) {
             return;
@@ -368,21 +375,21 @@
         }
     }
 
-    /** Goes on elsewhere if the server of a stream that can be resumed has fallen silent. */
+    /** Moves a resumable stream to another server if the current one has been silent for a time. */
     void abandonSilentServer(long silentMillis) {
         if (attempt != null && canResume()) {
             attempt.abandonIfSilent(silentMillis);
         }
     }
 
-    /** The caller reads again, or has stopped reading. */
+    /** Passes a change of the caller's writability to the attempt. */
     void callerWritabilityChanged(boolean writable) {
         if (attempt != null) {
             attempt.callerWritabilityChanged(writable);
         }
     }
 
-    /** Ends the exchange at the bound of a planned stop. */
+    /** Aborts the exchange when the time for a graceful stop runs out. */
     void abort() {
         if (!finished) {
             deadlineExpired();
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
@@ -15,7 +15,7 @@
 import org.tanagerhinge.node.log.LogLine;
 import org.tanagerhinge.node.metrics.NodeMetrics;
 
-/** What is told of one request, in log lines and metrics: each decision, the inputs that decided it, and the outcome. */
+/** Records the log lines and metrics of one request: each decision, its inputs, and the outcome. */
 final class RequestTelemetry {
     private final Gateway gateway;
     private final String id;
@@ -31,7 +31,7 @@
         this.arrivedAtMillis = arrivedAtMillis;
     }
 
-    /** Returns the trail of a request that arrived at a time in milliseconds. */
+    /** Returns the telemetry of a request that arrived at a time in milliseconds. */
     static RequestTelemetry of(Gateway gateway, String id, long arrivedAtMillis) {
         return new RequestTelemetry(gateway, id, arrivedAtMillis);
     }
@@ -55,7 +55,7 @@
                 .write();
     }
 
-    /** Another attempt begins; the server's load is as it was when it was chosen. */
+    /** Logs the start of an attempt, with the server's load at the time of the decision. */
     void sent(PlacementPolicy.Decision placed, int candidates, int level) {
         attempts++;
         ServerInstance chosen = placed.server();
@@ -77,7 +77,7 @@
         line.with(LogField.PEERS, gateway.peersPresent()).write();
     }
 
-    /** An attempt has failed; {@code broken} holds the request's fingerprint if its connection broke. */
+    /** Logs a failed attempt; {@code suspect} holds the request's fingerprint if its connection broke. */
     void attemptFailed(
             AttemptEnd end,
             String reason,
@@ -96,7 +96,7 @@
         line.write();
     }
 
-    /** The request goes to another server. */
+    /** Logs a retry at another server. */
     void retried(boolean resumed, ResponseProgress progress) {
         gateway.count(resumed ? "resumed" : "repeated");
         logLine(resumed ? LogEvent.RESUMED : LogEvent.REPEATED, true)
@@ -112,23 +112,23 @@
                 .write();
     }
 
-    /** The request has to yield to more urgent ones at the server that was chosen for it. */
+    /** Notes that the request must yield to more urgent ones at the chosen server. */
     void yieldedToUrgent(ServerInstance chosen, int rank) {
         server = chosen.id();
-        reason = "requests more urgent than rank " + rank + " are overdue there";
+        reason = "requests more urgent than rank " + rank + " are overdue at this server";
     }
 
-    /** The request could not be in time where it would go. */
+    /** Notes that the request cannot meet its target at the chosen server. */
     void rejected(PlacementPolicy.Decision placed) {
         gateway.count("turned_away");
         server = placed.server().id();
-        reason = "reading takes " + Math.round(placed.expectedWaitMillis()) + " ms there";
+        reason = "expected wait at this server is " + Math.round(placed.expectedWaitMillis()) + " ms";
     }
 
-    /** The request is sent no more, since servers ended under it. */
+    /** Notes that the request is quarantined, since servers crashed while running it. */
     void quarantined(RequestFingerprint fingerprint) {
         server = "";
-        reason = "servers ended under " + fingerprint;
+        reason = "servers crashed while running " + fingerprint;
     }
 
     void refused(Refusal refusal) {
@@ -155,7 +155,7 @@
         finalLine(LogEvent.CALLER_GONE, true, progress).write();
     }
 
-    /** The answer was passed on whole. */
+    /** Logs a completely forwarded response, and records its latencies. */
     void completed(int status, ResponseProgress progress) {
         long nowMillis = gateway.nowMillis();
         boolean late = missedTarget(nowMillis, progress);
@@ -180,7 +180,10 @@
         metrics.longestPause(label, Duration.ofMillis(progress.longestGapMillis()));
     }
 
-    /** Requests of one kind and rank are shown together: their number doesn't grow with routes and workspaces. */
+    /**
+     * Returns the metrics label, by kind and rank, so that the number of series does not grow with routes and
+     * workspaces.
+     */
     private static String label(Route route) {
         return route.kind().name().toLowerCase(Locale.ROOT) + "/" + route.priority();
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/ResponseProgress.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/ResponseProgress.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** How far one request's answer has been passed on to its caller, over all its attempts. */
+/** Tracks how much of a response was forwarded to the caller, over all attempts. */
 final class ResponseProgress {
     private long lastEventId;
     private boolean headForwarded;
@@ -13,7 +13,7 @@
     private long lastEventAtMillis;
     private long longestGapMillis;
 
-    /** Returns the progress of a request that asks for the events after one; 0 for all. */
+    /** Returns the progress of a request for the events after one; 0 for all. */
     static ResponseProgress after(long eventId) {
         ResponseProgress progress = new ResponseProgress();
         progress.lastEventId = eventId;
@@ -28,12 +28,12 @@
         headForwarded = true;
     }
 
-    /** Returns whether an event was passed on, or was asked not to be sent. */
+    /** Returns whether an event was forwarded already, or lies before the first requested one. */
     boolean alreadyForwarded(long eventId) {
         return eventId >= 0 && eventId <= lastEventId;
     }
 
-    /** Notes that something of the answer was passed on; the event's id is negative if it has none. */
+    /** Records a forwarded event; its id is negative if it has none. */
     void forwarded(long eventId, long nowMillis) {
         if (eventId >= 0) {
             lastEventId = eventId;
@@ -47,7 +47,7 @@
         lastEventAtMillis = nowMillis;
     }
 
-    /** Returns the event after which another server would have to go on; empty if the caller's own word stands. */
+    /** Returns the event after which another server must resume; empty to use the caller's own value. */
     OptionalLong resumeAfterEvent() {
         return eventsForwarded ? OptionalLong.of(lastEventId) : OptionalLong.empty();
     }
@@ -56,7 +56,7 @@
         return lastEventId;
     }
 
-    /** Returns the version of the weights with which the answer was begun. */
+    /** Returns the version of the model weights that produced the start of the response. */
     Optional<String> weightsVersion() {
         return weightsVersion;
     }
@@ -67,12 +67,12 @@
         }
     }
 
-    /** Returns when the first event was passed on, in milliseconds; negative if none was. */
+    /** Returns the time of the first forwarded event, in milliseconds; negative if there was none. */
     long firstEventAtMillis() {
         return firstEventAtMillis;
     }
 
-    /** Returns the longest pause between two events that were passed on, in milliseconds. */
+    /** Returns the longest gap between two forwarded events, in milliseconds. */
     long longestGapMillis() {
         return longestGapMillis;
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/SequentialHttpClient.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/SequentialHttpClient.java
@@ -28,15 +28,15 @@
 import java.util.function.Consumer;
 
 /**
- * Makes calls with JSON bodies to one address, one at a time and in their order, on a connection that is kept.
+ * Sends HTTP requests to one address, one at a time and in order, over a persistent connection.
  *
- * <p>Each call ends within its time: a connection may fall silent for good, and an answer that was lost takes its
- * connection with it, so a call without an answer closes the connection and the next one opens another.
+ * <p>Each call ends within its timeout. A call without a response closes the connection, which may be dead; the next
+ * call opens another one.
  */
 public final class SequentialHttpClient {
     private static final int CONNECT_TIMEOUT_MILLIS = 700;
     private static final int MAX_RESPONSE_BYTES = 8 << 20;
-    /** Headers of a call with a JSON body. */
+    /** Headers of a request with a JSON body. */
     public static final Map<String, String> JSON_HEADERS =
             Map.of(HttpHeaderNames.CONTENT_TYPE.toString(), "application/json");
 
@@ -51,16 +51,16 @@
         this.address = address;
     }
 
-    /** Returns a caller that connects with its first call. */
+    /** Returns a client that connects with its first call. */
     public static SequentialHttpClient of(EventLoopGroup loop, InetSocketAddress address) {
         return new SequentialHttpClient(loop, address);
     }
 
     /**
-     * An answer.
+     * Holds a response.
      *
      * @param status HTTP status, or 0 if the call failed
-     * @param body the answer's body, or why the call failed
+     * @param body the response body, or the reason of the failure as text
      */
     public record Response(int status, byte[] body) {
         static Response failed(String reason) {
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Calls; {@code done} hears exactly once, on the event loop. A call that is made while another one is in progress is sent
-     * after it; its time runs all the same.
+     * Sends a request with a JSON body; {@code onResponse} is called exactly once, on the event loop. A call made while
+     * another one is in flight is sent after it, and its timeout includes the wait.
      *
      * @param body JSON text, or empty for none
      */
@@ -102,7 +102,7 @@
         call(method, path, json ? JSON_HEADERS : Map.of(), bytes, timeoutMillis, onResponse);
     }
 
-    /** Calls with headers and a body of any type; otherwise as the call with a JSON body. */
+    /** Sends a request with the given headers and a body of any type. */
     public void call(
             HttpMethod method,
             String path,
@@ -121,9 +121,9 @@
 
     private void timedOut(Call call) {
         if (call == current) {
-            fail("no answer in time");
+            fail("no response in time");
         } else if (queued.remove(call)) {
-            call.onResponse.accept(Response.failed("no answer in time"));
+            call.onResponse.accept(Response.failed("no response in time"));
         }
     }
 
@@ -156,12 +156,12 @@
                         channel = future.channel();
                         send(call);
                     } else {
-                        fail("no connection");
+                        fail("could not connect");
                     }
                 });
     }
 
-    /** Closes the connection that is kept, unless a call is in progress on it: the next call opens another one. */
+    /** Closes the connection unless a call is in flight; the next call opens another one. */
     public void closeIdleConnection() {
         if (current == null && channel != null) {
             channel.close();
@@ -169,7 +169,7 @@
         }
     }
 
-    /** Closes the connection; calls in progress and those that wait for their turn fail. */
+    /** Closes the connection; calls in flight and queued calls fail. */
     public void close() {
         List<Call> unsent = List.copyOf(queued);
         queued.clear();
@@ -217,7 +217,7 @@
         ended.onResponse.accept(response);
     }
 
-    /** Takes the answers of one connection. */
+    /** Handles the responses of one connection. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
@@ -226,7 +226,7 @@
                 return;
             }
             if (response.decoderResult().isFailure()) {
-                fail("not an HTTP answer");
+                fail("malformed HTTP response");
                 return;
             }
             byte[] body = new byte[response.content().readableBytes()];
--- a/gateway/src/main/java/org/tanagerhinge/gateway/StatusHandler.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/StatusHandler.java
@@ -12,7 +12,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.tanagerhinge.node.metrics.NodeMetrics;
 
-/** Answers the platform's question whether this node takes new connections, and shows the metrics. */
+/** Serves the readiness check of the platform and the metrics. */
 final class StatusHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private final Gateway gateway;
     private final NodeMetrics metrics;
--- a/gateway/src/main/java/org/tanagerhinge/gateway/StoreSynchronizer.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/StoreSynchronizer.java
@@ -16,46 +16,45 @@
 /**
  * Keeps a gateway's configuration and server list up to date with the platform's store.
  *
- * <p>The configuration is watched: it changes seldom, so a waiting call costs least. The servers are polled: each
- * refreshes its registration about once a second, so a watch would be answered many times as often. Only the gateway that
- * reads for all ({@link org.tanagerhinge.core.relay.PeerTable}) makes these calls; the others hear of changes from their
- * peers and ask the store themselves when their list has grown old.
+ * <p>The configuration is watched, since it changes seldom. The servers are polled, since each renews its registration
+ * about once a second and a watch would fire for every renewal. Only the gateway that {@link
+ * org.tanagerhinge.core.relay.PeerTable} selects as reader makes these calls; the others receive changes from their
+ * peers and read the store themselves when their server list is stale.
  */
 final class StoreSynchronizer {
     private static final Logger LOG = System.getLogger(StoreSynchronizer.class.getName());
-    /** How often the servers are read, in milliseconds: well under the bound for servers that leave. */
+    /** Poll interval of the server list. */
     private static final int SERVERS_POLL_MILLIS = 800;
     /**
-     * A list that is older than this and the time between two reports is read again also by a gateway that doesn't read
-     * for all: its peers seem to fail it.
+     * Age, added to the report interval, at which a gateway that is no reader polls the list itself because its peers
+     * did not deliver one.
      */
     private static final long STALE_LIST_MILLIS = 1_150;
-    /** How long a watch waits: a connection that has fallen silent must show within the bound of configuration. */
+    /** Maximum wait of a watch, so that a silent connection is detected within the time for configuration changes. */
     private static final long WATCH_WAIT_MILLIS = 1_500;
-    /** Pause before the next watch after a change, so that versions in quick succession are taken in together. */
+    /** Delay before the next watch after a change, so that changes in quick succession are applied together. */
     private static final int CHANGE_BATCH_MILLIS = 150;
-    /** How long a call may take, in milliseconds: five times as long as one to a store that is 75 times slower than usual. */
+
     private static final long TIMEOUT_MILLIS = 1_500;
     /**
-     * How long a call of a gateway that can serve nobody yet may take, in milliseconds: a store that returns from an outage
-     * doesn't answer the calls that were made during it, and each moment until the next one is time in which callers are
-     * refused. Three times what such a call takes on a host with a quarter of a core that has just started.
+     * Timeout before this gateway can serve callers. It is shorter because a store that recovers does not answer calls
+     * made during its outage, and callers are refused until a call succeeds.
      */
     private static final long INITIAL_TIMEOUT_MILLIS = 800;
-    /** Pause after a failed call, in milliseconds. */
+    /** Delay before a failed call is retried. */
     private static final int RETRY_MILLIS = 250;
-    /** The same of a gateway that can serve nobody yet. */
+    /** Delay before a retry while this gateway cannot serve callers yet. */
     private static final int INITIAL_RETRY_MILLIS = 100;
-    /** Least time between two such calls of a gateway that its peers fail: many reports may tell it of the same version. */
+    /** Minimum time between two catch-up reads; many peer reports may announce the same version. */
     private static final long MIN_CATCH_UP_INTERVAL_MILLIS = 400;
-    /** How often a gateway that doesn't read looks whether it has to, in milliseconds. */
+    /** Interval at which a gateway that is no reader checks whether it must read. */
     private static final int STANDBY_CHECK_MILLIS = 200;
 
-    /** Unreadable entries of one list that are told of: a writer may leave any number. */
+    /** Maximum number of unreadable entries that are logged for one listing. */
     private static final int MAX_UNREADABLE_LOGGED = 20;
 
     private static final Duration LEASE_TTL = Duration.ofSeconds(12);
-    /** How often the lease is kept: a few may fail before it ends. */
+    /** Renewal interval of the lease; a few renewals may fail before it expires. */
     private static final int KEEP_ALIVE_MILLIS = 3_000;
 
     private final Gateway gateway;
@@ -74,7 +73,7 @@
         this.peers = peers;
     }
 
-    /** Starts to read; returns at once. */
+    /** Starts to read the store; returns immediately. */
     static StoreSynchronizer start(Gateway gateway, MetadataStore store, PeerSynchronizer peers) {
         StoreSynchronizer synchronizer = new StoreSynchronizer(gateway, store, peers);
         peers.storeReachable(() -> synchronizer.storeReachable);
@@ -114,10 +113,9 @@
     }
 
     /**
-     * Asks for the configuration once, since the gateway that reads for all seems to fail this one. What goes wrong without it:
-     * the store turns some gateways away, that one and the next ones among them. Each finds that out only when its calls have
-     * had no answer in time, one after the other, while a version is written that has to be in force before they have. Or peers
-     * tell of a version and can't be asked for it.
+     * Reads the configuration once, although this gateway is no reader, because its peers do not deliver it. Without
+     * this, a new version arrives too late if the store rejects the reader and its successors, which time out one after
+     * the other, or if peers announce a version but cannot be queried.
      */
     private void catchUp() {
         long nowMillis = gateway.nowMillis();
@@ -155,7 +153,7 @@
         }));
     }
 
-    /** Tells of each entry that can't be read once, for as long as it stays as it is. */
+    /** Logs each unreadable entry once for as long as it does not change. */
     private void logUnreadable(List<MetadataStore.UnreadableEntry> entries) {
         List<MetadataStore.UnreadableEntry> logged =
                 entries.subList(0, Math.min(MAX_UNREADABLE_LOGGED, entries.size()));
@@ -209,8 +207,8 @@
     }
 
     /**
-     * Notes a failed call; returns whether it was one, and not one for history that is gone. These replies are told apart
-     * by tests and not by a pattern switch, which costs a restarted gateway 10 ms before its first server list.
+     * Records a failed call and returns true; returns false for compacted history. Uses instanceof because a pattern
+     * switch is slower at startup.
      */
     private boolean recordFailure(MetadataStore.Reply<?> reply) {
         if (reply instanceof MetadataStore.Failure<?> failure) {
@@ -226,7 +224,9 @@
                 peers.reportNow();
             }
         } catch (IOException e) {
-            LOG.log(Level.ERROR, "configuration cannot be read, the one in force stays: " + e.getMessage());
+            LOG.log(
+                    Level.ERROR,
+                    "cannot decode the configuration from the store; keeping the active one: " + e.getMessage());
         }
     }
 
@@ -238,7 +238,7 @@
                 readGateways();
                 schedule(this::keepLeaseAlive, KEEP_ALIVE_MILLIS);
             } else {
-                markUnreachable("could not join");
+                markUnreachable("could not register this gateway");
                 schedule(this::register, RETRY_MILLIS * 2);
             }
         }));
@@ -257,13 +257,13 @@
                     register();
                 }
             } else {
-                markUnreachable("lease could not be kept");
+                markUnreachable("could not renew the lease");
                 schedule(this::keepLeaseAlive, RETRY_MILLIS * 4);
             }
         }));
     }
 
-    /** Requests that end servers outlast the gateways that found them: all may lose power together. */
+    /** Reads the quarantined requests from the store, where they survive a simultaneous loss of all gateways. */
     private void readQuarantine() {
         store.listQuarantined(guarded(this::readQuarantine, reply -> {
             if (reply instanceof MetadataStore.Success<List<RequestFingerprint>> answer) {
@@ -313,7 +313,7 @@
         }
     }
 
-    /** Returns what takes a reply of the store; if it throws, its loop goes on with a step after a pause. */
+    /** Returns a handler of a store reply; if it throws, {@code step} is scheduled again after a delay. */
     private <T> Consumer<MetadataStore.Reply<T>> guarded(Runnable step, Consumer<MetadataStore.Reply<T>> handler) {
         return reply -> {
             if (!gateway.runGuarded(() -> handler.accept(reply))) {
@@ -322,7 +322,7 @@
         };
     }
 
-    /** Runs a step of a loop; if it throws, it is tried again after a pause. */
+    /** Runs a step of a loop; if it throws, it is scheduled again after a delay. */
     private void runGuarded(Runnable task) {
         if (!gateway.runGuarded(task)) {
             schedule(task, retryMillis());
--- a/gateway/src/main/java/org/tanagerhinge/gateway/UsageCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/UsageCodec.java
@@ -13,11 +13,11 @@
 import org.tanagerhinge.wire.peer.UsageWindow;
 import org.tanagerhinge.wire.peer.WorkspaceCount;
 
-/** Translates usage counts to the messages that carry them between nodes and keep them in the store. */
+/** Encodes and decodes usage counts, as sent between nodes and kept in the store. */
 public final class UsageCodec {
     private UsageCodec() {}
 
-    /** Returns the message that holds reports. */
+    /** Encodes usage reports. */
     public static byte[] encodeReports(List<UsageReport> reports) {
         UsageTold.Builder told = UsageTold.newBuilder();
         for (UsageReport report : reports) {
@@ -33,7 +33,7 @@
         return told.build().toByteArray();
     }
 
-    /** Returns the reports that a message holds. */
+    /** Decodes usage reports. */
     public static List<UsageReport> decodeReports(byte[] message) throws InvalidProtocolBufferException {
         return UsageTold.parseFrom(message).getSourcesList().stream()
                 .map(UsageCodec::decodeReport)
@@ -65,12 +65,12 @@
         return counts;
     }
 
-    /** Returns the message that holds the counts of one window. */
+    /** Encodes the counts of one window. */
     public static byte[] encodeCounts(UsageCounts counts) {
         return encodeWindow(counts.window(), counts.byWorkspace()).build().toByteArray();
     }
 
-    /** Returns the counts that a message holds. */
+    /** Decodes the counts of one window. */
     public static UsageCounts decodeCounts(byte[] message) throws InvalidProtocolBufferException {
         UsageWindow window = UsageWindow.parseFrom(message);
         return new UsageCounts(window.getWindow(), decodeWindow(window));
--- a/gateway/src/test/java/org/tanagerhinge/gateway/EventSplitterTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/EventSplitterTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Events come out whole and once, however their bytes are cut on the way. */
+/** Guards against events that are split, lost or repeated when their bytes arrive in arbitrary pieces. */
 class EventSplitterTest {
     private record Read(long id, String text) {}
 
--- a/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
@@ -15,9 +15,9 @@
 import org.tanagerhinge.core.relay.PeerReport;
 import org.tanagerhinge.core.relay.ServerAnnouncements;
 
-/** What gateways tell each other, as it goes over the wire. */
+/** Guards against peer messages that lose information or outgrow their share of the control bandwidth. */
 class PeerCodecTest {
-    /** What a node may spend on control a second at the target, in bytes; news goes to each of 409 peers three times. */
+    /** Limit of a node's control traffic, in bytes per second. */
     private static final int CONTROL_BYTES_PER_SECOND = 21_000;
 
     private static final PeerReport REPORT =
@@ -41,7 +41,7 @@
         assertEquals(sent, PeerCodec.decodeState(PeerCodec.encodeState(sent)));
     }
 
-    /** All that was in progress at an engine of 128 places is news for one report after the other, beside servers that leave. */
+    /** Covers a crash of servers with 128 slots, whose requests all become suspects, with servers that leave. */
     @Test
     void largestReportStaysUnderAQuarterOfTheControlBandwidth() {
         Quarantine quarantine = Quarantine.create();
--- a/gateway/src/test/java/org/tanagerhinge/gateway/PeriodicTaskRecoveryTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeriodicTaskRecoveryTest.java
@@ -33,26 +33,19 @@
 import org.tanagerhinge.node.metrics.NodeMetrics;
 
 /**
- * After the store had been silent for 13 seconds no gateway took in a version any more, and requests for routes that had been
- * taken away were served. The loop that watches the configuration had ended at the gateway that reads for all, since one of its
- * steps threw; its other loop went on reading the servers, so that no other gateway took over. What threw then is mended; that a
- * loop ends with whatever one of its steps throws, unseen, was not. The lines of an own day on the code of that time:
- *
- * <pre>
- *   2.981 a-1 store_lost             3.849 a-1 task_failed why="java.lang.IllegalStateException: a call is in progress"
- *   14.116 a-1 store_back            16 to 28: four versions are written, and no gateway has a configuration line after 0.598
- * </pre>
+ * Guards against a loop that ends silently when one of its steps throws: the gateway that watched the configuration
+ * once stopped doing so after an exception, while its other loop went on, so that no other gateway took over.
  */
 class PeriodicTaskRecoveryTest {
     private static final Duration CONDITION_TIMEOUT = Duration.ofSeconds(30);
 
-    /** What a store's caller can't take: the answer to a call holds nothing, or the call throws. */
+    /** Faults of the store: the response holds no value, or the call throws. */
     enum Fault {
         EMPTY_ANSWER,
         THROWN
     }
 
-    /** A store that serves, but for one call of one kind. */
+    /** Serves all calls except the second one of one kind. */
     private static final class FaultyStore implements MetadataStore {
         private final Map<String, AtomicInteger> calls = new ConcurrentHashMap<>();
         private final String faultyCall;
@@ -67,7 +60,6 @@
             return calls.computeIfAbsent(kind, name -> new AtomicInteger()).get();
         }
 
-        /** The second call of the faulty kind fails. */
         private <T> void reply(String kind, T value, Consumer<Reply<T>> done) {
             int count = calls.computeIfAbsent(kind, name -> new AtomicInteger()).incrementAndGet();
             if (count == 2 && kind.equals(faultyCall)) {
@@ -126,7 +118,7 @@
         }
     }
 
-    /** Reads and writes nothing. */
+    /** Reads and writes no headers. */
     private static final class NoDialect implements Dialect {
         @Override
         public CallerMetadata callerMetadata(HttpRequest request) {
@@ -189,13 +181,13 @@
         GatewayDaemon gateway = start(store);
         try {
             assertTrue(becomesTrue(() -> store.calls(kind) > 3), "calls: " + store.calls(kind));
-            assertTrue(gateway.metrics().text().contains("reason=\"task_failed\""), "and is told of");
+            assertTrue(gateway.metrics().text().contains("reason=\"task_failed\""), "failed task is not counted");
         } finally {
             gateway.close();
         }
     }
 
-    /** Reports to peers and the sweep of connections are loops as well. */
+    /** Covers reports to peers and the sweep of connections, which use the same repetition. */
     @Test
     void repeatedTaskContinuesAfterThrowing() throws InterruptedException {
         EventLoopGroup loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
