--- a/core/src/main/java/org/tanagerhinge/core/config/BackendServer.java
+++ b/core/src/main/java/org/tanagerhinge/core/config/BackendServer.java
@@ -6,10 +6,10 @@
 import org.tanagerhinge.core.id.TargetName;
 
 /**
- * A backend server as operators listed it.
+ * Describes a backend server as operators listed it.
  *
- * @param agentAddress where its agent listens, as {@code IP:PORT}
- * @param targets the models, or the one plain service, that it serves
+ * @param agentAddress address on which its agent listens, as {@code IP:PORT}
+ * @param targets the models, or the one plain service, that the server provides
  */
 public record BackendServer(
         ServerId id,
@@ -22,7 +22,7 @@
         targets = Set.copyOf(targets);
     }
 
-    /** Returns this server with another mark. */
+    /** Returns this server with another desired state. */
     public BackendServer withDesiredState(DesiredServerState newDesiredState) {
         return new BackendServer(id, agentAddress, failureDomain, kind, targets, newDesiredState);
     }
--- a/core/src/main/java/org/tanagerhinge/core/config/ChangeIds.java
+++ b/core/src/main/java/org/tanagerhinge/core/config/ChangeIds.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Keeps the ids of a document's latest edits. */
+/** Limits the list of ids of a document's latest edits. */
 final class ChangeIds {
     private static final int MAX_IDS = 16;
 
--- a/core/src/main/java/org/tanagerhinge/core/config/ClusterConfig.java
+++ b/core/src/main/java/org/tanagerhinge/core/config/ClusterConfig.java
@@ -1,8 +1,8 @@
 package org.tanagerhinge.core.config;
 
-/** Both shared documents as a node holds them. */
+/** Holds a node's current version of the two shared documents. */
 public record ClusterConfig(ProfilesDocument profiles, ServersDocument servers) {
-    /** What a node holds before it has heard of any configuration. */
+    /** The configuration of a node that has not received any. */
     public static final ClusterConfig EMPTY = new ClusterConfig(ProfilesDocument.EMPTY, ServersDocument.EMPTY);
 
     /** Returns the revisions of the two documents. */
@@ -10,16 +10,16 @@
         return new ConfigRevision(profiles.revision(), servers.revision());
     }
 
-    /** Returns whether both documents are there. */
+    /** Returns whether both documents have been received. */
     public boolean isComplete() {
         return profiles.revision() > 0 && servers.revision() > 0;
     }
 
     /**
-     * Returns the newer of each document.
+     * Returns the newer version of each document.
      *
-     * <p>A late or doubled message, or a store that answers from an old replica, can offer an older document; were it
-     * taken, an accepted change would revert. Taking the greater revision of each document rules that out.
+     * <p>A delayed or duplicated message, or a read from a stale replica of the store, can offer an older document;
+     * applying it would revert an accepted change.
      */
     public ClusterConfig merge(ClusterConfig other) {
         return new ClusterConfig(
--- a/core/src/main/java/org/tanagerhinge/core/config/ConfigJson.java
+++ b/core/src/main/java/org/tanagerhinge/core/config/ConfigJson.java
@@ -18,7 +18,7 @@
 import org.tanagerhinge.core.id.WorkspaceId;
 
 /**
- * Reads and writes the shared documents as JSON, checking every value.
+ * Reads and writes the shared documents as JSON and validates every value.
  *
  * <p>Durations are whole milliseconds. Absent fields take the defaults documented in {@code docs/OPERATIONS.md}.
  */
@@ -34,7 +34,7 @@
 
     private ConfigJson() {}
 
-    /** Reads a profiles document and checks it. */
+    /** Reads and validates a profiles document. */
     public static ProfilesDocument parseProfiles(String text) throws InvalidConfigException {
         List<String> problems = new ArrayList<>();
         JsonNode root = parseTree("profiles document", text);
@@ -56,7 +56,7 @@
         return new ProfilesDocument(revision, changes, profiles, workspaces);
     }
 
-    /** Reads a servers document and checks it. */
+    /** Reads and validates a servers document. */
     public static ServersDocument parseServers(String text) throws InvalidConfigException {
         List<String> problems = new ArrayList<>();
         JsonNode root = parseTree("servers document", text);
@@ -115,7 +115,7 @@
         return root.toPrettyString();
     }
 
-    /** Writes one profile, for people to read and compare. */
+    /** Writes one profile, to be displayed and compared. */
     public static String render(Profile profile) {
         return toJson(profile).toPrettyString();
     }
@@ -210,12 +210,12 @@
             }
             if (profile.completionTarget().compareTo(profile.deadline()) > 0) {
                 problems.add("profile '" + profile.name() + "': wholeTargetMillis "
-                        + profile.completionTarget().toMillis() + " is over deadlineMillis "
+                        + profile.completionTarget().toMillis() + " exceeds deadlineMillis "
                         + profile.deadline().toMillis());
             }
         }
         if (totalSharePercent > MAX_TOTAL_SHARE_PERCENT) {
-            problems.add("sharePercent of all profiles adds up to " + totalSharePercent + ": expected 100 at the most");
+            problems.add("sharePercent of all profiles adds up to " + totalSharePercent + ": expected at most 100");
         }
         Set<String> keyHashes = new HashSet<>();
         for (Workspace workspace : workspaces) {
@@ -239,7 +239,7 @@
             }
             return root;
         } catch (JsonProcessingException e) {
-            throw new InvalidConfigException(documentName, List.of("not JSON: " + e.getOriginalMessage()));
+            throw new InvalidConfigException(documentName, List.of("invalid JSON: " + e.getOriginalMessage()));
         }
     }
 
--- a/core/src/main/java/org/tanagerhinge/core/config/DesiredServerState.java
+++ b/core/src/main/java/org/tanagerhinge/core/config/DesiredServerState.java
@@ -2,16 +2,16 @@
 
 import java.util.Locale;
 
-/** What operators want of a backend server. */
+/** Lists the states that operators can assign to a backend server; the {@code mark} field of the servers document. */
 public enum DesiredServerState {
-    /** Takes work. */
+    /** Accepts new requests. */
     SERVING,
-    /** Takes no new work, finishes what runs. */
+    /** Accepts no new requests; completes those in flight. */
     LEAVING,
-    /** Is to be left alone; no agent is expected there. */
+    /** Is out of service; no agent is expected to run. */
     STOPPED;
 
-    /** Returns the word used in documents, for example {@code leaving}. */
+    /** Returns the name used in documents, for example {@code leaving}. */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/core/src/main/java/org/tanagerhinge/core/config/InvalidConfigException.java
+++ b/core/src/main/java/org/tanagerhinge/core/config/InvalidConfigException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.tanagerhinge.core.result.TanagerhingeException;
 
-/** Thrown for a document that cannot be used; carries every problem found, each naming the offending value. */
+/** Thrown for an invalid document; carries every problem found, each with the offending value. */
 public final class InvalidConfigException extends TanagerhingeException {
     private static final long serialVersionUID = 1L;
 
--- a/core/src/main/java/org/tanagerhinge/core/config/JsonFields.java
+++ b/core/src/main/java/org/tanagerhinge/core/config/JsonFields.java
@@ -11,7 +11,7 @@
 import java.util.function.Function;
 import org.tanagerhinge.core.text.NearestName;
 
-/** Reads the fields of one JSON object and collects what is wrong with them, so that all is reported at once. */
+/** Reads the fields of one JSON object and collects all problems, so that they are reported together. */
 final class JsonFields {
     private final JsonNode node;
     private final String path;
@@ -41,7 +41,7 @@
             return defaultValue;
         }
         if (!value.isTextual()) {
-            addProblem(field, value + ": expected a text");
+            addProblem(field, value + ": expected a string");
             return defaultValue;
         }
         return value.asText();
@@ -52,7 +52,7 @@
         List<String> values = new ArrayList<>();
         JsonNode array = node.path(field);
         if (!array.isMissingNode() && !array.isArray()) {
-            addProblem(field, array + ": expected an array of texts");
+            addProblem(field, array + ": expected an array of strings");
         }
         array.forEach(item -> values.add(item.asText()));
         return values;
@@ -86,7 +86,7 @@
     int integer(String field, int min, int max, int defaultValue) {
         double value = number(field, min, max, defaultValue);
         if (value != Math.rint(value)) {
-            addProblem(field, value + ": expected a whole number");
+            addProblem(field, value + ": expected an integer");
         }
         return (int) value;
     }
@@ -108,11 +108,11 @@
         return type.getEnumConstants()[index];
     }
 
-    /** Reports the fields that nothing asked for. */
+    /** Reports the fields that were not read as unknown. */
     void rejectUnknownFields() {
         node.fieldNames().forEachRemaining(field -> {
             if (!knownFields.contains(field)) {
-                addProblem(field, "no such field" + NearestName.hint(field, knownFields));
+                addProblem(field, "unknown field" + NearestName.hint(field, knownFields));
             }
         });
     }
--- a/core/src/main/java/org/tanagerhinge/core/config/Profile.java
+++ b/core/src/main/java/org/tanagerhinge/core/config/Profile.java
@@ -4,19 +4,21 @@
 import org.tanagerhinge.core.id.ProfileName;
 
 /**
- * A class of service that operators define and callers pick.
+ * Describes a class of service that operators define and callers select.
  *
  * @param tier priority, 1 (highest) to 6
- * @param idempotent whether a request may be run again
- * @param firstTokenTarget time to the first token that the contract promises; zero for none
- * @param completionTarget time to the whole answer that the contract promises; zero for none
- * @param interTokenTarget mean time between tokens that the contract promises; zero for none
- * @param percentile how many in 100 requests must meet the targets
- * @param deadline after which an answer is of no use to the caller
- * @param sharePercent guaranteed part of each backend server's service while the class has work queued
- * @param maxQueuedRequests requests of the class that one agent queues at the most
- * @param workspaceConcurrency requests of one workspace in the class at one router at once; zero for no limit
- * @param workspaceRequestsPerSecond requests a second of one workspace in the class at one router; zero for no limit
+ * @param idempotent whether a request may be run more than once
+ * @param firstTokenTarget promised time to the first token; zero for none
+ * @param completionTarget promised time to the complete answer; zero for none
+ * @param interTokenTarget promised mean time between tokens; zero for none
+ * @param percentile percentage of requests that must meet the targets
+ * @param deadline time after which the caller has no use for an answer
+ * @param sharePercent share of each backend server's service guaranteed to the class while it has queued requests
+ * @param maxQueuedRequests maximum number of requests of the class queued at one agent
+ * @param workspaceConcurrency maximum number of concurrent requests of one workspace in the class at one router; zero
+ *     for no limit
+ * @param workspaceRequestsPerSecond maximum request rate of one workspace in the class at one router; zero for no
+ *     limit
  */
 public record Profile(
         ProfileName name,
@@ -31,6 +33,6 @@
         int maxQueuedRequests,
         int workspaceConcurrency,
         double workspaceRequestsPerSecond) {
-    /** The lowest priority. */
+    /** The tier of the lowest priority. */
     public static final int LOWEST_TIER = 6;
 }
--- a/core/src/main/java/org/tanagerhinge/core/config/ProfilesDocument.java
+++ b/core/src/main/java/org/tanagerhinge/core/config/ProfilesDocument.java
@@ -8,10 +8,10 @@
 import org.tanagerhinge.core.id.WorkspaceId;
 
 /**
- * All profiles and workspaces at one revision.
+ * Holds all profiles and workspaces at one revision.
  *
- * @param revision grows by one with each accepted edit
- * @param changeIds ids of the latest edits, the newest first, so that an operator whose answer was lost can tell whether
+ * @param revision incremented by one with each accepted edit
+ * @param changeIds ids of the latest edits, newest first, so that an operator who lost the response can tell whether
  *     the edit was accepted
  */
 public record ProfilesDocument(
@@ -30,7 +30,7 @@
         return profiles.stream().filter(profile -> profile.name().equals(name)).findFirst();
     }
 
-    /** Returns the workspaces by the hash of each of their keys. */
+    /** Returns the workspaces by the SHA-256 hash of each of their bearer keys. */
     public Map<String, Workspace> workspacesByKeySha256() {
         Map<String, Workspace> byKey = new TreeMap<>();
         for (Workspace workspace : workspaces) {
@@ -46,7 +46,7 @@
                 .findFirst();
     }
 
-    /** Returns the same content as the next revision, under the id of the edit that made it. */
+    /** Returns the same content at the next revision, with the id of the edit that made it. */
     public ProfilesDocument nextRevision(long newRevision, String changeId) {
         return new ProfilesDocument(newRevision, ChangeIds.prepend(changeId, changeIds), profiles, workspaces);
     }
--- a/core/src/main/java/org/tanagerhinge/core/config/ServersDocument.java
+++ b/core/src/main/java/org/tanagerhinge/core/config/ServersDocument.java
@@ -6,10 +6,10 @@
 import org.tanagerhinge.core.id.ServerId;
 
 /**
- * All backend servers and their marks at one revision.
+ * Holds all backend servers and their desired states at one revision.
  *
- * @param revision grows by one with each accepted edit
- * @param changeIds ids of the latest edits, the newest first, so that an operator whose answer was lost can tell whether
+ * @param revision incremented by one with each accepted edit
+ * @param changeIds ids of the latest edits, newest first, so that an operator who lost the response can tell whether
  *     the edit was accepted
  */
 public record ServersDocument(long revision, List<String> changeIds, List<BackendServer> servers) {
@@ -26,7 +26,7 @@
         return servers.stream().filter(server -> server.id().equals(id)).findFirst();
     }
 
-    /** Returns this document with one server put in or changed. */
+    /** Returns this document with one server added or replaced. */
     public ServersDocument withServer(BackendServer changed) {
         List<BackendServer> updated = new ArrayList<>(servers);
         updated.removeIf(server -> server.id().equals(changed.id()));
@@ -35,7 +35,7 @@
         return new ServersDocument(revision, changeIds, updated);
     }
 
-    /** Returns the same content as the next revision, under the id of the edit that made it. */
+    /** Returns the same content at the next revision, with the id of the edit that made it. */
     public ServersDocument nextRevision(long newRevision, String changeId) {
         return new ServersDocument(newRevision, ChangeIds.prepend(changeId, changeIds), servers);
     }
--- a/core/src/main/java/org/tanagerhinge/core/config/package-info.java
+++ b/core/src/main/java/org/tanagerhinge/core/config/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration that all nodes share: profiles, workspaces and backend servers, as versioned documents. */
+/** The configuration shared by all nodes: profiles, workspaces and backend servers, as versioned documents. */
 package org.tanagerhinge.core.config;
