--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyAnnouncement.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyAnnouncement.java
@@ -3,7 +3,8 @@
 /**
  * Holds what a node announces to all peers for the election of the duty holder.
  *
- * @param wallClockMillis time of the node's wall clock, in milliseconds since the Unix epoch; 0 if it takes no part in duties
+ * @param wallClockMillis time of the node's wall clock, in milliseconds since the Unix epoch; 0 if it takes no part
+ *     in duties
  * @param preference rank of the node as a candidate, greater is better; 0 if it is no candidate
  * @param fencingToken the node's fencing token, 0 if it holds no duty
  */
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyClient.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyClient.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * Makes the asynchronous calls of duty holders and candidates to the metadata store and the platform. Each callback runs
- * exactly once, on the caller's thread, after the method has returned.
+ * Makes the asynchronous calls of duty holders and candidates to the metadata store and the platform. Each callback
+ * runs exactly once, on the caller's thread, after the method has returned.
  */
 public interface DutyClient {
     /** Requests a lease from the store; {@code callback} receives the lease id. */
@@ -29,8 +29,8 @@
     void readRecord(Consumer<CallOutcome<DutyRecord>> callback);
 
     /**
-     * Commits the counts of a window to the store, on condition that the fencing token is still current and the window has not
-     * been committed before.
+     * Commits the counts of a window to the store, on condition that the fencing token is still current and the
+     * window has not been committed before.
      *
      * @param pruneThrough newest window that may be removed from the store
      */
@@ -38,8 +38,8 @@
             long fencingToken, UsageCounts counts, long pruneThrough, Consumer<CallOutcome<CommitResult>> callback);
 
     /**
-     * Saves the reports on uncommitted windows, on condition that the fencing token is still current; {@code callback} receives
-     * whether it is.
+     * Saves the reports on uncommitted windows, on condition that the fencing token is still current;
+     * {@code callback} receives whether it is.
      */
     void saveReports(long fencingToken, List<UsageReport> reports, Consumer<CallOutcome<Boolean>> callback);
 
--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyElection.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyElection.java
@@ -9,12 +9,14 @@
 import org.tanagerhinge.core.chart.StateMachine;
 
 /**
- * Elects the holder of a duty with a lease in the metadata store, and tracks whether this node's ownership is still valid.
+ * Elects the holder of a duty with a lease in the metadata store, and tracks whether this node's ownership is still
+ * valid.
  *
- * <p>The holder is the node that wrote the duty's key. The key is attached to the writer's lease and disappears with it. The
- * store revision of that write is the fencing token, so each claim has a unique token. The validity of a lease is counted from
- * the time its last successful renewal was sent, and a renewal sent before the host was suspended is not trusted. Candidates
- * stand in order of preference: the most preferred one tries at once, each further one after an additional delay.
+ * <p>The holder is the node that wrote the duty's key. The key is attached to the writer's lease and disappears with
+ * it. The store revision of that write is the fencing token, so each claim has a unique token. The validity of a
+ * lease is counted from the time its last successful renewal was sent, and a renewal sent before the host was
+ * suspended is not trusted. Candidates stand in order of preference: the most preferred one tries at once, each
+ * further one after an additional delay.
  */
 final class DutyElection {
     private static final StateChart<DutyState, DutyEvent> CHART =
@@ -185,8 +187,9 @@
     }
 
     /**
-     * Returns whether calls of a previous process of this node may still be pending although another node has held the duty
-     * since. Calls with this node's name would then be executed both before and after the other holder's calls.
+     * Returns whether calls of a previous process of this node may still be pending although another node has held
+     * the duty since. Calls with this node's name would then be executed both before and after the other holder's
+     * calls.
      */
     private boolean predecessorCallsMayBePending(List<String> recentHolders) {
         return clock.steadyMillis() - startedAtMillis < settings.maxCallDelayMillis()
@@ -237,8 +240,8 @@
     }
 
     /**
-     * Reads the record back to confirm the claim, since the write may have got no answer, and to learn the revision of the key
-     * as the fencing token. A claim that is executed later is still bounded by its lease.
+     * Reads the record back to confirm the claim, since the write may have got no answer, and to learn the revision
+     * of the key as the fencing token. A claim that is executed later is still bounded by its lease.
      */
     private void confirmClaim(String claim) {
         client.readRecord(inCurrentEpoch(reply -> {
@@ -315,8 +318,8 @@
     }
 
     /**
-     * Gives up ownership or the current election attempt. A former holder revokes its lease, so that a successor need not wait
-     * for the lease to expire, and observes a cooldown.
+     * Gives up ownership or the current election attempt. A former holder revokes its lease, so that a successor need
+     * not wait for the lease to expire, and observes a cooldown.
      */
     void relinquish(String reason) {
         boolean wasHolder = isHolder();
--- a/core/src/main/java/org/tanagerhinge/core/duty/MedianClock.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/MedianClock.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * Estimates the wall-clock time as the median over this node's clock and its peers' clocks. A stepped clock on a minority of
- * hosts therefore does not move counts into another usage window.
+ * Estimates the wall-clock time as the median over this node's clock and its peers' clocks. A stepped clock on a
+ * minority of hosts therefore does not move counts into another usage window.
  */
 public final class MedianClock {
     private final NodeClock clock;
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageAggregator.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageAggregator.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 
 /**
- * Aggregates the usage reports of all nodes on the duty holder. Merging keeps the maximum of each cumulative count, so it is
- * idempotent and independent of the order of reports.
+ * Aggregates the usage reports of all nodes on the duty holder. Merging keeps the maximum of each cumulative count,
+ * so it is idempotent and independent of the order of reports.
  */
 final class UsageAggregator {
     /** Identifies one run of a node's process. */
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageCounter.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageCounter.java
@@ -4,7 +4,10 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Counts the requests that servers started for this node's callers, by window and workspace, until the windows are committed. */
+/**
+ * Counts the requests that servers started for this node's callers, by window and workspace, until the windows are
+ * committed.
+ */
 public final class UsageCounter {
     private final DutySettings settings;
     private final MedianClock medianClock;
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageDuty.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageDuty.java
@@ -8,9 +8,9 @@
 /**
  * Reports the number of started requests to the platform, once for each usage window, while this node holds the duty.
  *
- * <p>Two different reports for one window must not occur. Counts are therefore committed to the store before they are first
- * sent, on condition that they were not committed before and that this node is still the holder. A successor sends exactly the
- * committed counts. While the store is unreachable, no new window is reported.
+ * <p>Two different reports for one window must not occur. Counts are therefore committed to the store before they are
+ * first sent, on condition that they were not committed before and that this node is still the holder. A successor
+ * sends exactly the committed counts. While the store is unreachable, no new window is reported.
  */
 public final class UsageDuty {
     /** Wait after the end of a window until the clocks of all nodes have reached it. */
@@ -23,8 +23,8 @@
     private static final long SAVE_INTERVAL_MILLIS = 1_000;
 
     /**
-     * Age from which a process is ranked by host capacity. Before that, calls of the previous process on the same host may
-     * still be executed, and would count as those of this one.
+     * Age from which a process is ranked by host capacity. Before that, calls of the previous process on the same
+     * host may still be executed, and would count as those of this one.
      */
     private static final int MATURE_AGE_SECONDS = 15;
 
@@ -129,7 +129,8 @@
     /**
      * Merges the report of a node.
      *
-     * @return the newest committed window, whose counts need not be reported again; nothing if this node is not the holder
+     * @return the newest committed window, whose counts need not be reported again; nothing if this node is not the
+     *     holder
      */
     public OptionalLong acceptReport(UsageReport report) {
         if (!election.isHolder()) {
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageReport.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageReport.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 
 /**
- * Holds the usage counts that one node reports to the duty holder. Counts are cumulative, so a report may arrive repeatedly,
- * late or out of order.
+ * Holds the usage counts that one node reports to the duty holder. Counts are cumulative, so a report may arrive
+ * repeatedly, late or out of order.
  *
  * @param node name of the node
  * @param incarnation distinguishes successive runs of the node's process
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageReporter.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageReporter.java
@@ -6,8 +6,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Schedules a node's usage reports to the duty holder: soon after the end of each window, and regularly within a window to
- * bound the counts that are lost if the node crashes.
+ * Schedules a node's usage reports to the duty holder: soon after the end of each window, and regularly within a
+ * window to bound the counts that are lost if the node crashes.
  */
 public final class UsageReporter {
     /** Minimum interval between reports within a window. */
--- a/wire/src/main/java/org/tanagerhinge/wire/FrameDecoder.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/FrameDecoder.java
@@ -22,11 +22,11 @@
 import org.tanagerhinge.wire.proto.Packet;
 import org.tanagerhinge.wire.proto.Submit;
 
-/** Turns protobuf packets into typed messages. */
+/** Decodes protobuf packets into typed messages. */
 public final class FrameDecoder {
     private FrameDecoder() {}
 
-    /** Returns the message in a packet. */
+    /** Returns the message in a packet received after the handshake. */
     public static Frame decode(Packet packet) throws MalformedFrameException {
         try {
             return decodeBody(packet);
@@ -90,7 +90,7 @@
                 new Frame.ConfigPush(new ClusterConfig(
                         ConfigJson.parseProfiles(packet.getConfigPush().getProfiles()),
                         ConfigJson.parseServers(packet.getConfigPush().getServers())));
-            case HELLO, PROOF, BODY_NOT_SET -> throw new IllegalArgumentException("not expected here");
+            case HELLO, PROOF, BODY_NOT_SET -> throw new IllegalArgumentException("not expected after the handshake");
         };
     }
 
@@ -142,6 +142,6 @@
 
     private static ResultCode decodeResultCode(int number) {
         return ResultCode.ofNumber(number)
-                .orElseThrow(() -> new IllegalArgumentException("result code " + number + " is not known"));
+                .orElseThrow(() -> new IllegalArgumentException("unknown result code " + number));
     }
 }
--- a/wire/src/main/java/org/tanagerhinge/wire/FrameEncoder.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/FrameEncoder.java
@@ -24,7 +24,7 @@
 import org.tanagerhinge.wire.proto.Revision;
 import org.tanagerhinge.wire.proto.Submit;
 
-/** Turns typed messages into protobuf packets. */
+/** Encodes typed messages as protobuf packets. */
 public final class FrameEncoder {
     private FrameEncoder() {}
 
--- a/wire/src/main/java/org/tanagerhinge/wire/Link.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/Link.java
@@ -2,12 +2,12 @@
 
 import org.tanagerhinge.core.message.Frame;
 
-/** An authenticated connection to a peer. */
+/** Represents an authenticated connection to a peer. */
 public interface Link {
-    /** Returns who is at the other end. */
+    /** Returns the identity of the peer. */
     Peer peer();
 
-    /** Sends a message; after the connection is lost, messages are dropped. */
+    /** Sends a message; messages sent after the connection is lost are dropped. */
     void send(Frame frame);
 
     /** Closes the connection. */
--- a/wire/src/main/java/org/tanagerhinge/wire/LinkBindException.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/LinkBindException.java
@@ -2,7 +2,7 @@
 
 import org.tanagerhinge.core.result.TanagerhingeException;
 
-/** Thrown when an address cannot be listened on. */
+/** Thrown when a server cannot listen on its address. */
 public final class LinkBindException extends TanagerhingeException {
     private static final long serialVersionUID = 1L;
 
--- a/wire/src/main/java/org/tanagerhinge/wire/LinkClient.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/LinkClient.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 
-/** A router's side of one connection: connects to an agent, and again whenever the connection is lost, until closed. */
+/** Connects a router to one agent and reconnects whenever the connection is lost, until closed. */
 public final class LinkClient implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MILLIS = 1500;
     private static final long INITIAL_BACKOFF_MILLIS = 50;
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Starts to connect.
+     * Starts connecting.
      *
-     * @param agentName the name that the agent must prove
-     * @param idle how long the agent may be silent before it is taken for lost
+     * @param agentName name that the agent must prove in the handshake
+     * @param idleTimeout how long the agent may send nothing before the connection is closed as lost
      */
     public static LinkClient start(
             EventLoopGroup group,
@@ -76,7 +76,10 @@
         });
     }
 
-    /** Waits a little longer after each failure, with jitter, so that a replaced agent is not met by all at once. */
+    /**
+     * Schedules a reconnect with exponential backoff and jitter, which avoids simultaneous connects to a replaced
+     * agent.
+     */
     private void scheduleReconnect() {
         if (closed || group.isShuttingDown()) {
             return;
--- a/wire/src/main/java/org/tanagerhinge/wire/LinkHandler.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/LinkHandler.java
@@ -11,11 +11,11 @@
 import org.tanagerhinge.wire.proto.Proof;
 
 /**
- * One end of a connection: proves itself, checks the other end, then passes messages.
+ * Performs the mutual handshake on one end of a connection, then passes messages to the listener.
  *
- * <p>Until the other end has proved the secret nothing it sends reaches the program, so a stranger on the network can
- * give an agent no work. A peer that is silent for longer than the idle limit is taken for lost: a frozen process keeps
- * its connections open, and requests would wait for it for ever.
+ * <p>No message is passed on until the peer has proved knowledge of the shared secret, so an unauthenticated host
+ * cannot submit work to an agent. A peer that sends nothing for longer than the idle timeout counts as lost: a frozen
+ * process keeps its connections open, and requests would wait for it forever.
  */
 final class LinkHandler extends SimpleChannelInboundHandler<Packet> implements Link {
     private static final int PROTOCOL_VERSION = 1;
@@ -139,8 +139,8 @@
     public void send(Frame frame) {
         ChannelHandlerContext ctx = context;
         if (!ctx.channel().isWritable()) {
-            // The peer does not read. Queueing for it without bound would end this process; losing the link is the
-            // failure that both ends know how to handle.
+            // The peer does not read. An unbounded queue would exhaust the memory of this process, so the link is
+            // closed: both ends can recover from that.
             reject(ctx, "peer_not_reading");
             return;
         }
--- a/wire/src/main/java/org/tanagerhinge/wire/LinkInitializer.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/LinkInitializer.java
@@ -15,7 +15,7 @@
 import java.util.function.Supplier;
 import org.tanagerhinge.wire.proto.Packet;
 
-/** Builds the handlers of a connection: length-prefixed protobuf packets of a bounded size. */
+/** Initializes the channel pipeline of a connection: length-prefixed protobuf packets of limited size. */
 final class LinkInitializer extends ChannelInitializer<Channel> {
     private static final int LENGTH_BYTES = 4;
     private static final int MAX_PACKET_BYTES = 32 << 20;
@@ -30,7 +30,7 @@
         this.idleTimeout = idleTimeout;
     }
 
-    /** Returns an initializer for one more connection. */
+    /** Returns an initializer with the same settings for another connection. */
     LinkInitializer copy() {
         return new LinkInitializer(handlerFactory, idleTimeout);
     }
--- a/wire/src/main/java/org/tanagerhinge/wire/LinkListener.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/LinkListener.java
@@ -2,17 +2,17 @@
 
 import org.tanagerhinge.core.message.Frame;
 
-/** Takes the events of connections; called on the network's threads, in order for one link. */
+/** Receives the events of connections; called on event loop threads, in order for each link. */
 public interface LinkListener {
-    /** A connection is authenticated. */
+    /** Called when a connection has been authenticated. */
     void onUp(Link link);
 
-    /** A message has come. */
+    /** Called when a message was received. */
     void onFrame(Link link, Frame frame);
 
-    /** An authenticated connection is gone. */
+    /** Called when an authenticated connection has been closed. */
     void onDown(Link link);
 
-    /** A peer was turned away, or broke the protocol; the reason is a short label for a counter. */
+    /** Called when a peer was rejected or violated the protocol; the reason is a short label for a counter. */
     void onRefused(String reason);
 }
--- a/wire/src/main/java/org/tanagerhinge/wire/LinkServer.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/LinkServer.java
@@ -13,7 +13,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** An agent's side: takes connections from routers. */
+/** Accepts connections from routers on an agent. */
 public final class LinkServer implements AutoCloseable {
     private static final int BACKLOG = 1024;
 
@@ -26,10 +26,10 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
-     * @param address where to listen; port 0 takes a free one
-     * @param idle how long a peer may be silent before it is taken for lost
+     * @param address address to listen on; port 0 selects a free port
+     * @param idleTimeout how long a peer may send nothing before its connection is closed as lost
      */
     public static LinkServer start(
             EventLoopGroup group,
@@ -61,7 +61,7 @@
         return new LinkServer(bindFuture.channel(), connections);
     }
 
-    /** Returns the port listened on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
--- a/wire/src/main/java/org/tanagerhinge/wire/MalformedFrameException.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/MalformedFrameException.java
@@ -2,7 +2,7 @@
 
 import org.tanagerhinge.core.result.TanagerhingeException;
 
-/** Thrown for a packet that is not a message between routers and agents. */
+/** Thrown when a packet is not a valid message between routers and agents. */
 public final class MalformedFrameException extends TanagerhingeException {
     private static final long serialVersionUID = 1L;
 
--- a/wire/src/main/java/org/tanagerhinge/wire/Peer.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/Peer.java
@@ -1,23 +1,25 @@
 package org.tanagerhinge.wire;
 
 /**
- * Who is at one end of a connection.
+ * Identifies the process at one end of a connection.
  *
- * @param incarnation tells one run of a process from the next
+ * @param role kind of the process
+ * @param name configured name of the process
+ * @param incarnation distinguishes successive runs of the process
  */
 public record Peer(Role role, String name, long incarnation) {
-    /** The two kinds of process that talk to each other. */
+    /** The two kinds of process that exchange messages. */
     public enum Role {
         ROUTER,
         AGENT
     }
 
-    /** Returns a router's side. */
+    /** Returns the identity of a router. */
     public static Peer router(String name, long incarnation) {
         return new Peer(Role.ROUTER, name, incarnation);
     }
 
-    /** Returns an agent's side. */
+    /** Returns the identity of an agent. */
     public static Peer agent(String name, long incarnation) {
         return new Peer(Role.AGENT, name, incarnation);
     }
--- a/wire/src/main/java/org/tanagerhinge/wire/SharedSecret.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/SharedSecret.java
@@ -8,11 +8,11 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The secret that routers and agents share, and the proof of knowing it.
+ * Holds the secret shared by routers and agents, and computes and verifies proofs of knowing it.
  *
- * <p>Each side sends a random nonce and proves the secret by an HMAC-SHA256 over its own role, name and incarnation and
- * both nonces. The role in the proof keeps a stranger from reflecting a proof to the side that made it, the nonces from
- * replaying an old one. Frames after the handshake are not encrypted; the network between hosts is the operators'.
+ * <p>Each side sends a random nonce and proves the secret with an HMAC-SHA256 over its own role, name and incarnation
+ * and both nonces. The role prevents reflection attacks, the nonces prevent replay attacks. Messages are not
+ * encrypted; the network between the hosts is trusted.
  */
 public final class SharedSecret {
     private static final String ALGORITHM = "HmacSHA256";
@@ -33,7 +33,8 @@
      */
     public static SharedSecret of(String text) {
         if (text.length() < MIN_LENGTH) {
-            throw new IllegalArgumentException("expected a shared secret of " + MIN_LENGTH + " characters or more");
+            throw new IllegalArgumentException(
+                    "shared secret is too short: expected at least " + MIN_LENGTH + " characters");
         }
         return new SharedSecret(text.getBytes(StandardCharsets.UTF_8));
     }
@@ -53,7 +54,7 @@
             mac.update(proverNonce);
             return mac.doFinal(verifierNonce);
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("every JDK has " + ALGORITHM, e);
+            throw new IllegalStateException("algorithm not available in this JDK: " + ALGORITHM, e);
         }
     }
 
--- a/wire/src/main/java/org/tanagerhinge/wire/package-info.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/package-info.java
@@ -1,2 +1,2 @@
-/** How routers and agents talk: protobuf messages over mutually authenticated TCP connections. */
+/** Transport between routers and agents: protobuf messages over mutually authenticated TCP connections. */
 package org.tanagerhinge.wire;
--- a/wire/src/test/java/org/tanagerhinge/wire/LinkTest.java
+++ b/wire/src/test/java/org/tanagerhinge/wire/LinkTest.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.tanagerhinge.core.message.Frame;
 
-/** Connections between routers and agents: mutual proof of the secret, and messages in order. */
+/** Tests connections between routers and agents: mutual authentication and delivery of messages. */
 class LinkTest {
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(30);
     private static final SharedSecret SECRET = SharedSecret.of("a secret of some length");
 
-    /** Notes the events of connections. */
+    /** Records the events of connections. */
     private static final class RecordingListener implements LinkListener {
         private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
         private volatile Link link;
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Symptom: a stranger on the network gives an agent work. Events: it connects and speaks the protocol. Cause: an
-     * agent that trusts whoever connects.
+     * Guards against agents that accept work from a peer that has not proved the secret, or a peer under a wrong
+     * name.
      */
     @ParameterizedTest
     @CsvSource({
