--- a/core/src/main/java/org/tanagerhinge/core/attempt/AttemptEnd.java
+++ b/core/src/main/java/org/tanagerhinge/core/attempt/AttemptFailure.java
@@ -1,7 +1,7 @@
 package org.tanagerhinge.core.attempt;
 
 /** The ways in which sending a request to a backend server may fail. */
-public enum AttemptEnd {
+public enum AttemptFailure {
     /** No connection could be made; the server has seen nothing of the request. */
     NOT_SENT,
     /** The server states that it did not run the request and won't. */
@@ -26,12 +26,12 @@
     }
 
     /** Returns whether the connection broke under the request, as it does when the server ends. */
-    public boolean broken() {
+    public boolean connectionBroken() {
         return this == BROKEN || this == CUT;
     }
 
     /** Returns whether the server has seen the request, so that sending it again is a repeat there. */
-    public boolean arrived() {
+    public boolean reachedServer() {
         return this != NOT_SENT;
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/attempt/AttemptHistory.java
+++ b/core/src/main/java/org/tanagerhinge/core/attempt/AttemptHistory.java
@@ -8,44 +8,44 @@
  */
 public final class AttemptHistory {
     /** A repeat with less time left than this can hardly be answered in time, in milliseconds. */
-    private static final long LEAST_LEFT_MILLIS = 30;
+    private static final long MIN_REMAINING_MILLIS = 30;
 
-    private final AttemptTerms terms;
-    private int sends;
-    private int runs;
-    private int refusals;
+    private final AttemptLimits limits;
+    private int sendCount;
+    private int possibleRunCount;
+    private int refusalCount;
 
-    private AttemptHistory(AttemptTerms terms) {
-        this.terms = terms;
+    private AttemptHistory(AttemptLimits limits) {
+        this.limits = limits;
     }
 
     /** Returns the history of a request that hasn't been sent yet. */
-    public static AttemptHistory of(AttemptTerms terms) {
-        return new AttemptHistory(terms);
+    public static AttemptHistory of(AttemptLimits limits) {
+        return new AttemptHistory(limits);
     }
 
     /** Notes that the request is sent. */
-    public void sent() {
-        sends++;
+    public void recordSend() {
+        sendCount++;
     }
 
     /** Notes how its newest attempt ended. */
-    public void ended(boolean mayHaveRun) {
+    public void recordEnd(boolean mayHaveRun) {
         if (mayHaveRun) {
-            runs++;
+            possibleRunCount++;
         } else {
-            refusals++;
+            refusalCount++;
         }
     }
 
     /** Returns how often it was sent. */
-    public int sends() {
-        return sends;
+    public int sendCount() {
+        return sendCount;
     }
 
     /** Returns whether any attempt that has ended may have run. */
     public boolean mayHaveRun() {
-        return runs > 0;
+        return possibleRunCount > 0;
     }
 
     /**
@@ -54,22 +54,24 @@
      * @param newestMayHaveRun whether that attempt may have run
      * @param leftMillis time until the request is given up
      */
-    public boolean mayRepeat(boolean newestMayHaveRun, long leftMillis) {
-        return judge(newestMayHaveRun, runs, leftMillis);
+    public boolean mayRetry(boolean newestMayHaveRun, long remainingMillis) {
+        return allowsRetry(newestMayHaveRun, possibleRunCount, remainingMillis);
     }
 
     /** Returns whether it could be sent again, were its newest attempt to end now as one that may have run. */
-    public boolean couldRepeatAfterRun(long leftMillis) {
-        return judge(true, runs + 1, leftMillis);
+    public boolean couldRetryAfterRun(long remainingMillis) {
+        return allowsRetry(true, possibleRunCount + 1, remainingMillis);
     }
 
-    private boolean judge(boolean newestMayHaveRun, int ran, long leftMillis) {
-        if (leftMillis < LEAST_LEFT_MILLIS || sends >= terms.mostSends() || refusals > terms.mostRefusals()) {
+    private boolean allowsRetry(boolean newestMayHaveRun, int possibleRuns, long remainingMillis) {
+        if (remainingMillis < MIN_REMAINING_MILLIS
+                || sendCount >= limits.maxSends()
+                || refusalCount > limits.maxRefusals()) {
             return false;
         }
-        if (ran > 0 && !terms.idempotent()) {
+        if (possibleRuns > 0 && !limits.idempotent()) {
             return false;
         }
-        return !newestMayHaveRun || ran < terms.mostRuns();
+        return !newestMayHaveRun || possibleRuns < limits.maxRuns();
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/attempt/AttemptTerms.java
+++ b/core/src/main/java/org/tanagerhinge/core/attempt/AttemptLimits.java
@@ -8,4 +8,4 @@
  * @param mostRefusals how many backend servers may refuse it unrun before it is given up
  * @param mostSends how many backend servers it may be sent to in all: a refusal costs little, but not nothing
  */
-public record AttemptTerms(boolean idempotent, int mostRuns, int mostRefusals, int mostSends) {}
+public record AttemptLimits(boolean idempotent, int maxRuns, int maxRefusals, int maxSends) {}
--- a/core/src/main/java/org/tanagerhinge/core/attempt/RequestFingerprint.java
+++ b/core/src/main/java/org/tanagerhinge/core/attempt/RequestFingerprint.java
@@ -17,9 +17,9 @@
  * @param workspace hash of the name of the caller's workspace
  * @param content two checksums of all the rest
  */
-public record RequestFingerprint(int workspace, long content) {
-    private static final int WORKSPACE_DIGITS = 8;
-    private static final int DIGITS = 24;
+public record RequestFingerprint(int workspaceHash, long contentHash) {
+    private static final int WORKSPACE_HEX_DIGITS = 8;
+    private static final int HEX_DIGITS = 24;
 
     /**
      * Returns the fingerprint of a request.
@@ -29,29 +29,29 @@
      * @param body the whole body; its position stays where it is
      */
     public static RequestFingerprint of(String workspace, String method, String host, String target, ByteBuffer body) {
-        byte[] head = String.join("\n", method, host, target, "").getBytes(StandardCharsets.UTF_8);
-        CRC32 high = new CRC32();
-        high.update(head);
-        high.update(body.duplicate());
-        CRC32C low = new CRC32C();
-        low.update(head);
-        low.update(body.duplicate());
-        return new RequestFingerprint(workspace.hashCode(), high.getValue() << Integer.SIZE | low.getValue());
+        byte[] prefix = String.join("\n", method, host, target, "").getBytes(StandardCharsets.UTF_8);
+        CRC32 crc32 = new CRC32();
+        crc32.update(prefix);
+        crc32.update(body.duplicate());
+        CRC32C crc32c = new CRC32C();
+        crc32c.update(prefix);
+        crc32c.update(body.duplicate());
+        return new RequestFingerprint(workspace.hashCode(), crc32.getValue() << Integer.SIZE | crc32c.getValue());
     }
 
     /** Returns the fingerprint that a text of 24 hexadecimal digits names; nothing for any other text. */
-    public static Optional<RequestFingerprint> find(String text) {
-        if (text.length() != DIGITS || !text.chars().allMatch(HexFormat::isHexDigit)) {
+    public static Optional<RequestFingerprint> parse(String text) {
+        if (text.length() != HEX_DIGITS || !text.chars().allMatch(HexFormat::isHexDigit)) {
             return Optional.empty();
         }
         return Optional.of(new RequestFingerprint(
-                HexFormat.fromHexDigits(text, 0, WORKSPACE_DIGITS),
-                HexFormat.fromHexDigitsToLong(text, WORKSPACE_DIGITS, DIGITS)));
+                HexFormat.fromHexDigits(text, 0, WORKSPACE_HEX_DIGITS),
+                HexFormat.fromHexDigitsToLong(text, WORKSPACE_HEX_DIGITS, HEX_DIGITS)));
     }
 
     /** Returns it as 24 hexadecimal digits. */
     @Override
     public String toString() {
-        return HexFormat.of().toHexDigits(workspace) + HexFormat.of().toHexDigits(content);
+        return HexFormat.of().toHexDigits(workspaceHash) + HexFormat.of().toHexDigits(contentHash);
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/attempt/RetryBudget.java
+++ b/core/src/main/java/org/tanagerhinge/core/attempt/RetryBudget.java
@@ -15,16 +15,16 @@
  */
 public final class RetryBudget {
     /** Part of the allowance that is used, so that windows of other nodes that lie a little apart don't exceed it. */
-    private static final double USED = 0.85;
+    private static final double USABLE_FRACTION = 0.85;
 
     private double ratio;
     private double slack;
     private long windowMillis;
-    private int nodes = 1;
+    private int nodeCount = 1;
     private final Map<String, Window> windows = new HashMap<>();
 
     private RetryBudget(double ratio, double slack, long windowMillis) {
-        terms(ratio, slack, windowMillis);
+        setLimits(ratio, slack, windowMillis);
     }
 
     /**
@@ -38,49 +38,49 @@
     }
 
     /** Takes other terms from now on; what was spent before counts on. */
-    public final void terms(double newRatio, double newSlack, long newWindowMillis) {
+    public final void setLimits(double newRatio, double newSlack, long newWindowMillis) {
         ratio = newRatio;
         slack = newSlack;
         windowMillis = newWindowMillis;
     }
 
     /** Sets among how many nodes the slack is divided. */
-    public void nodes(int count) {
-        nodes = Math.max(1, count);
+    public void nodeCount(int count) {
+        nodeCount = Math.max(1, count);
     }
 
     /** Notes a request of a class. */
-    public void request(String of, long now) {
-        window(of, now).requests.add(now);
+    public void recordRequest(String requestClass, long nowMillis) {
+        window(requestClass, nowMillis).requests.add(nowMillis);
     }
 
     /** Takes one repeat if there is one left. */
-    public boolean take(String of, long now) {
-        Window window = window(of, now);
-        if (window.repeats.size() + 1 > USED * (ratio * window.requests.size() + slack / nodes)) {
+    public boolean tryTake(String requestClass, long nowMillis) {
+        Window window = window(requestClass, nowMillis);
+        if (window.retries.size() + 1 > USABLE_FRACTION * (ratio * window.requests.size() + slack / nodeCount)) {
             return false;
         }
-        window.repeats.add(now);
+        window.retries.add(nowMillis);
         return true;
     }
 
-    private Window window(String of, long now) {
-        Window window = windows.computeIfAbsent(of, key -> new Window());
-        window.trim(now - windowMillis);
+    private Window window(String requestClass, long nowMillis) {
+        Window window = windows.computeIfAbsent(requestClass, key -> new Window());
+        window.evictBefore(nowMillis - windowMillis);
         return window;
     }
 
     private static final class Window {
         private final Deque<Long> requests = new ArrayDeque<>();
-        private final Deque<Long> repeats = new ArrayDeque<>();
+        private final Deque<Long> retries = new ArrayDeque<>();
 
-        private void trim(long from) {
-            trim(requests, from);
-            trim(repeats, from);
+        private void evictBefore(long fromMillis) {
+            evictBefore(requests, fromMillis);
+            evictBefore(retries, fromMillis);
         }
 
-        private static void trim(Deque<Long> times, long from) {
-            while (!times.isEmpty() && times.peekFirst() < from) {
+        private static void evictBefore(Deque<Long> times, long fromMillis) {
+            while (!times.isEmpty() && times.peekFirst() < fromMillis) {
                 times.pollFirst();
             }
         }
--- a/core/src/main/java/org/tanagerhinge/core/relay/Route.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/Route.java
@@ -1,7 +1,7 @@
 package org.tanagerhinge.core.relay;
 
 import java.util.List;
-import org.tanagerhinge.core.attempt.AttemptTerms;
+import org.tanagerhinge.core.attempt.AttemptLimits;
 
 /**
  * A route of the operators' configuration.
@@ -41,8 +41,8 @@
     }
 
     /** Returns the limits on the attempts of one request. */
-    public AttemptTerms attemptTerms() {
-        return new AttemptTerms(idempotent(), maxAttempts, Integer.MAX_VALUE, maxAttempts + EXTRA_SENDS);
+    public AttemptLimits attemptTerms() {
+        return new AttemptLimits(idempotent(), maxAttempts, Integer.MAX_VALUE, maxAttempts + EXTRA_SENDS);
     }
 
     /**
--- a/core/src/main/java/org/tanagerhinge/core/router/CrashAttribution.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/CrashAttribution.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.tanagerhinge.core.attempt.Quarantine;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
+import org.tanagerhinge.core.attempt.RequestQuarantine;
 import org.tanagerhinge.core.id.ServerId;
 
 /**
@@ -26,17 +26,17 @@
 
     private record FailedRun(RequestFingerprint request, Instant failedAt) {}
 
-    private final Quarantine quarantine = Quarantine.create();
+    private final RequestQuarantine quarantine = RequestQuarantine.create();
     private final Map<ServerId, Deque<FailedRun>> pendingRuns = new HashMap<>();
 
     /** Returns whether no request is suspected. */
     boolean isEmpty() {
-        return quarantine.empty();
+        return quarantine.isEmpty();
     }
 
     /** Returns for how long a request stays quarantined; empty if it may be sent. */
     Optional<Duration> quarantinedFor(RequestFingerprint request, Instant now) {
-        OptionalLong remainingMillis = quarantine.heldMillis(request, now.toEpochMilli());
+        OptionalLong remainingMillis = quarantine.remainingMillis(request, now.toEpochMilli());
         return remainingMillis.isPresent()
                 ? Optional.of(Duration.ofMillis(remainingMillis.getAsLong()))
                 : Optional.empty();
@@ -61,7 +61,7 @@
         for (FailedRun run : runs) {
             boolean newlyQuarantined =
                     run.failedAt().plus(CRASH_DETECTION_WINDOW).isAfter(now)
-                            && quarantine.ended(run.request(), server.value(), now.toEpochMilli());
+                            && quarantine.recordCrash(run.request(), server.value(), now.toEpochMilli());
             quarantinedCount += newlyQuarantined ? 1 : 0;
         }
         return quarantinedCount;
@@ -69,12 +69,12 @@
 
     /** Records that a server completed a run of a request. */
     void recordCompletedRun(RequestFingerprint request, Instant now) {
-        quarantine.served(request, now.toEpochMilli());
+        quarantine.recordCompletedRun(request, now.toEpochMilli());
     }
 
     /** Removes expired entries. */
     void evictExpired(Instant now) {
-        quarantine.trim(now.toEpochMilli());
+        quarantine.evictExpired(now.toEpochMilli());
         pendingRuns
                 .values()
                 .removeIf(runs ->
--- a/core/src/main/java/org/tanagerhinge/core/router/Exchange.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/Exchange.java
@@ -150,7 +150,7 @@
     }
 
     int attemptCount() {
-        return history.sends();
+        return history.sendCount();
     }
 
     AttemptHistory history() {
@@ -159,7 +159,7 @@
 
     /** Records that the agent returned the attempt as not run. */
     void attemptNotRun(RequestFailure failure) {
-        history.ended(false);
+        history.recordEnd(false);
         attemptUnresolved = false;
         triedServers.add(server);
         lastFailure = failure;
@@ -185,7 +185,7 @@
 
     void attemptSent(long number, Instant now) {
         attemptNumber = number;
-        history.sent();
+        history.recordSend();
         attemptUnresolved = true;
         lastProgressAt = now;
         waitingSince = null;
@@ -264,7 +264,7 @@
 
     /** Records that the attempt failed or was lost, and may have run. */
     void attemptMayHaveRun() {
-        history.ended(true);
+        history.recordEnd(true);
         attemptUnresolved = false;
     }
 
--- a/core/src/main/java/org/tanagerhinge/core/router/RouterCore.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RouterCore.java
@@ -201,7 +201,7 @@
                 expectedUnits,
                 AttemptHistory.of(options.attemptLimits(resolved.profile().idempotent())));
         exchanges.add(exchange);
-        retryBudget.request(resolved.profile().name().value(), now().toEpochMilli());
+        retryBudget.recordRequest(resolved.profile().name().value(), now().toEpochMilli());
         dispatch(exchange);
     }
 
@@ -580,12 +580,12 @@
 
     private boolean mayRetry(Exchange exchange, boolean newestMayHaveRun) {
         return exchange.history()
-                .mayRepeat(newestMayHaveRun, exchange.timeLeft(now()).toMillis());
+                .mayRetry(newestMayHaveRun, exchange.timeLeft(now()).toMillis());
     }
 
     /** Takes one retry from the budget of the request's profile, if one is left. */
     private boolean tryTakeRetry(Exchange exchange) {
-        return retryBudget.take(exchange.profile().name().value(), now().toEpochMilli());
+        return retryBudget.tryTake(exchange.profile().name().value(), now().toEpochMilli());
     }
 
     /** Returns a failure with an unknown outcome if any attempt may have run, although the newest did not. */
--- a/core/src/main/java/org/tanagerhinge/core/router/RouterOptions.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RouterOptions.java
@@ -1,7 +1,7 @@
 package org.tanagerhinge.core.router;
 
 import java.time.Duration;
-import org.tanagerhinge.core.attempt.AttemptTerms;
+import org.tanagerhinge.core.attempt.AttemptLimits;
 import org.tanagerhinge.core.id.FailureDomain;
 
 /**
@@ -124,7 +124,7 @@
     }
 
     /** Returns the limits for the attempts of one request; runs are limited by the retry budget alone. */
-    AttemptTerms attemptLimits(boolean idempotent) {
-        return new AttemptTerms(idempotent, Integer.MAX_VALUE, maxNotRunRetries, Integer.MAX_VALUE);
+    AttemptLimits attemptLimits(boolean idempotent) {
+        return new AttemptLimits(idempotent, Integer.MAX_VALUE, maxNotRunRetries, Integer.MAX_VALUE);
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/RetryTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/RetryTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.tanagerhinge.core.attempt.AttemptEnd;
+import org.tanagerhinge.core.attempt.AttemptFailure;
 import org.tanagerhinge.core.attempt.AttemptHistory;
 import org.tanagerhinge.core.attempt.RetryBudget;
 
@@ -29,14 +29,14 @@
         "STREAM, true,  CUT,          1, 1, true",
     })
     void retriesOnlyWhenARepeatedExecutionIsSafe(
-            RouteKind kind, boolean resumable, AttemptEnd end, int executions, int sends, boolean retried) {
+            RouteKind kind, boolean resumable, AttemptFailure end, int executions, int sends, boolean retried) {
         AttemptHistory history = AttemptHistory.of(route(kind, resumable, 2).attemptTerms());
         for (int i = 0; i < sends; i++) {
-            history.sent();
-            history.ended(i >= sends - executions);
+            history.recordSend();
+            history.recordEnd(i >= sends - executions);
         }
-        assertEquals(retried, history.mayRepeat(end.mayHaveRun(), 1_000));
-        assertFalse(history.mayRepeat(end.mayHaveRun(), 5), "no time left");
+        assertEquals(retried, history.mayRetry(end.mayHaveRun(), 1_000));
+        assertFalse(history.mayRetry(end.mayHaveRun(), 5), "no time left");
     }
 
     /** Load: every server fails and every request could be repeated; four nodes have one budget. */
@@ -47,16 +47,16 @@
         List<RetryBudget> nodes = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             RetryBudget budget = RetryBudget.of(ratio, slack, 10_000);
-            budget.nodes(4);
+            budget.nodeCount(4);
             nodes.add(budget);
         }
         List<Long> retryTimes = new ArrayList<>();
         List<Long> requestTimes = new ArrayList<>();
         for (long now = 0; now < 40_000; now += 10) {
             RetryBudget budget = nodes.get((int) (now / 10 % 4));
-            budget.request("s", now);
+            budget.recordRequest("s", now);
             requestTimes.add(now);
-            if (budget.take("s", now)) {
+            if (budget.tryTake("s", now)) {
                 retryTimes.add(now);
             }
         }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/AttemptListener.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/AttemptListener.java
@@ -2,7 +2,7 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
-import org.tanagerhinge.core.attempt.AttemptEnd;
+import org.tanagerhinge.core.attempt.AttemptFailure;
 
 /**
  * Receives the events of one attempt at a backend server; none follow {@link #responseCompleted} or {@link
@@ -19,5 +19,5 @@
     void responseCompleted();
 
     /** Called when the attempt has failed. */
-    void attemptFailed(AttemptEnd end, String reason);
+    void attemptFailed(AttemptFailure end, String reason);
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
@@ -17,7 +17,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
-import org.tanagerhinge.core.attempt.AttemptEnd;
+import org.tanagerhinge.core.attempt.AttemptFailure;
 import org.tanagerhinge.core.relay.ServerInstance;
 
 /**
@@ -140,7 +140,7 @@
     private void handleHead(HttpResponse response) {
         if (response.decoderResult().isFailure()
                 || !"HTTP".equals(response.protocolVersion().protocolName())) {
-            fail(AttemptEnd.BROKEN, "malformed HTTP response");
+            fail(AttemptFailure.BROKEN, "malformed HTTP response");
             return;
         }
         if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
@@ -158,7 +158,7 @@
         }
         boolean refusal = metadata.notExecuted() || response.status().code() == MISDIRECTED_REQUEST;
         if (metadata.attemptId().isEmpty() && !refusal) {
-            fail(AttemptEnd.BROKEN, "response has no attempt id");
+            fail(AttemptFailure.BROKEN, "response has no attempt id");
             return;
         }
         skipping = false;
@@ -169,7 +169,7 @@
 
     private void handleContent(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            fail(AttemptEnd.BROKEN, "malformed response body");
+            fail(AttemptFailure.BROKEN, "malformed response body");
             return;
         }
         boolean last = content instanceof LastHttpContent;
@@ -224,7 +224,7 @@
                 || message.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
     }
 
-    private void fail(AttemptEnd end, String reason) {
+    private void fail(AttemptFailure end, String reason) {
         broken = true;
         AttemptListener listener = activeListener;
         activeListener = null;
@@ -236,13 +236,13 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        fail(AttemptEnd.BROKEN, "connection failed: " + cause.getMessage());
+        fail(AttemptFailure.BROKEN, "connection failed: " + cause.getMessage());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         pool.connectionClosed(this);
-        fail(AttemptEnd.BROKEN, "connection closed");
+        fail(AttemptFailure.BROKEN, "connection closed");
     }
 
     /** Decodes responses; those to HEAD requests have no body. */
@@ -275,7 +275,7 @@
         public void responseCompleted() {}
 
         @Override
-        public void attemptFailed(AttemptEnd end, String reason) {
+        public void attemptFailed(AttemptFailure end, String reason) {
             broken.run();
         }
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
@@ -14,9 +14,9 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.tanagerhinge.core.attempt.AttemptEnd;
-import org.tanagerhinge.core.attempt.Quarantine;
+import org.tanagerhinge.core.attempt.AttemptFailure;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
+import org.tanagerhinge.core.attempt.RequestQuarantine;
 import org.tanagerhinge.core.attempt.RetryBudget;
 import org.tanagerhinge.core.relay.CallerLimits;
 import org.tanagerhinge.core.relay.Mechanism;
@@ -65,7 +65,7 @@
     private final RetryBudget budget;
     private final RankGate rankGate = RankGate.create();
     private final ServerAnnouncements serverAnnouncements = ServerAnnouncements.create();
-    private final Quarantine quarantine = Quarantine.create();
+    private final RequestQuarantine quarantine = RequestQuarantine.create();
     private final CrashDetector crashDetector = new CrashDetector(this);
     private final Set<CallerConnection> callers = new HashSet<>();
     private final Set<RelayExchange> exchanges = new HashSet<>();
@@ -177,7 +177,7 @@
                 .write();
     }
 
-    Quarantine quarantine() {
+    RequestQuarantine quarantine() {
         return quarantine;
     }
 
@@ -207,7 +207,7 @@
     /** Records that a server crashed with these requests in flight, and quarantines repeated suspects. */
     void serverCrashed(ServerInstance server, Set<RequestFingerprint> requests) {
         for (RequestFingerprint request : requests) {
-            if (quarantine.ended(request, server.instanceId(), nowMillis())) {
+            if (quarantine.recordCrash(request, server.instanceId(), nowMillis())) {
                 logQuarantine(request, "servers crashed while running it; " + server.id() + " was the last");
                 quarantineListener.accept(request);
             }
@@ -216,15 +216,15 @@
     }
 
     /** Merges a peer's suspicion against a request. */
-    void suspicionReceived(Quarantine.Suspicion suspicion) {
-        if (quarantine.hear(suspicion, nowMillis())) {
+    void suspicionReceived(RequestQuarantine.Suspicion suspicion) {
+        if (quarantine.merge(suspicion, nowMillis())) {
             logQuarantine(suspicion.request(), "reported by a peer");
         }
     }
 
     /** Quarantines a request that the platform's store lists as quarantined. */
     void quarantinedInStore(RequestFingerprint request) {
-        if (quarantine.hold(request, nowMillis())) {
+        if (quarantine.restore(request, nowMillis())) {
             logQuarantine(request, "listed in the store");
         }
     }
@@ -252,7 +252,8 @@
 
     /** Applies changed bounds. */
     void updateBounds(GatewayOptions.Bounds newer) {
-        budget.terms(newer.retryRatio(), newer.retrySlack(), newer.retryWindow().toMillis());
+        budget.setLimits(
+                newer.retryRatio(), newer.retrySlack(), newer.retryWindow().toMillis());
     }
 
     /** Returns the active configuration, if there is one yet. */
@@ -415,7 +416,7 @@
         return nowMillis - lastSweepMillis < STALL_MILLIS && server.silenceMillis(nowMillis) > SILENT_SERVER_MILLIS;
     }
 
-    void attemptFailed(ServerInstance server, AttemptEnd end) {
+    void attemptFailed(ServerInstance server, AttemptFailure end) {
         count("attempt_" + end.name().toLowerCase(Locale.ROOT));
         boolean wasUsable = server.health().usable(nowMillis());
         switch (end) {
@@ -572,7 +573,7 @@
         }
         Set.copyOf(callers).forEach(caller -> caller.sweep(nowMillis));
         pool.sweep(server -> serverAnnouncements.isLeaving(server.instanceId(), nowMillis));
-        quarantine.trim(nowMillis);
+        quarantine.evictExpired(nowMillis);
         serverAnnouncements.removeExpired(nowMillis);
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.tanagerhinge.core.attempt.Quarantine;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
+import org.tanagerhinge.core.attempt.RequestQuarantine;
 import org.tanagerhinge.core.duty.DutyAnnouncement;
 import org.tanagerhinge.core.relay.LaneDemand;
 import org.tanagerhinge.core.relay.PeerReport;
@@ -42,7 +42,7 @@
     record PeerMessage(
             PeerReport report,
             List<CachedPrefix> cachedPrefixes,
-            List<Quarantine.Suspicion> suspicions,
+            List<RequestQuarantine.Suspicion> suspicions,
             List<String> leavingInstances,
             DutyAnnouncement dutyStatus) {}
 
@@ -120,7 +120,7 @@
                 state.getIntervalMillis(),
                 uses,
                 demands);
-        List<Quarantine.Suspicion> suspicions = state.getSuspectedList().stream()
+        List<RequestQuarantine.Suspicion> suspicions = state.getSuspectedList().stream()
                 .map(PeerCodec::decodeSuspicion)
                 .toList();
         DutyAnnouncement duty =
@@ -128,24 +128,24 @@
         return new PeerMessage(report, cachedPrefixes, suspicions, List.copyOf(state.getLeavingList()), duty);
     }
 
-    private static SuspectedRequest encodeSuspicion(Quarantine.Suspicion suspicion) {
+    private static SuspectedRequest encodeSuspicion(RequestQuarantine.Suspicion suspicion) {
         SuspectedRequest.Builder suspected = SuspectedRequest.newBuilder()
-                .setWorkspace(suspicion.request().workspace())
-                .setContent(suspicion.request().content())
-                .setHeldMillis((int) suspicion.heldMillis());
-        suspicion.clearedMillis().ifPresent(age -> suspected.setClearedMillis((int) (age + 1)));
+                .setWorkspace(suspicion.request().workspaceHash())
+                .setContent(suspicion.request().contentHash())
+                .setHeldMillis((int) suspicion.remainingMillis());
+        suspicion.clearedAgeMillis().ifPresent(age -> suspected.setClearedMillis((int) (age + 1)));
         suspicion
-                .ends()
+                .crashes()
                 .forEach(end -> suspected.addEnds(
-                        ServerEnd.newBuilder().setServer(end.server()).setAgeMillis((int) end.ageMillis())));
+                        ServerEnd.newBuilder().setServer(end.instanceHash()).setAgeMillis((int) end.ageMillis())));
         return suspected.build();
     }
 
-    private static Quarantine.Suspicion decodeSuspicion(SuspectedRequest suspected) {
-        return new Quarantine.Suspicion(
+    private static RequestQuarantine.Suspicion decodeSuspicion(SuspectedRequest suspected) {
+        return new RequestQuarantine.Suspicion(
                 new RequestFingerprint(suspected.getWorkspace(), suspected.getContent()),
                 suspected.getEndsList().stream()
-                        .map(end -> new Quarantine.End(end.getServer(), end.getAgeMillis()))
+                        .map(end -> new RequestQuarantine.CrashReport(end.getServer(), end.getAgeMillis()))
                         .toList(),
                 suspected.getClearedMillis() == 0 ? Optional.empty() : Optional.of(suspected.getClearedMillis() - 1L),
                 suspected.getHeldMillis());
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerSynchronizer.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerSynchronizer.java
@@ -24,7 +24,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.tanagerhinge.core.attempt.Quarantine;
+import org.tanagerhinge.core.attempt.RequestQuarantine;
 import org.tanagerhinge.core.duty.DutyAnnouncement;
 import org.tanagerhinge.core.relay.Mechanism;
 import org.tanagerhinge.core.relay.PeerLoadUpdater;
@@ -160,7 +160,7 @@
         table.forgetSilent(gateway.nowMillis());
         logPresenceChanges(gateway.nowMillis());
         refreshTotals();
-        sendReport(gateway.quarantine().standing(gateway.nowMillis()));
+        sendReport(gateway.quarantine().nextRefreshes(gateway.nowMillis()));
     }
 
     /** Returns the interval between reports while the load hardly changes; it grows with the number of peers. */
@@ -198,16 +198,16 @@
      * Sends this gateway's state to all peers, and the standing suspicions to one peer in turn. A peer that missed
      * earlier reports thus learns of all suspicions soon, without any node sending them to everyone.
      */
-    private void sendReport(List<Quarantine.Suspicion> standing) {
+    private void sendReport(List<RequestQuarantine.Suspicion> standing) {
         PeerReport state = currentReport();
-        List<Quarantine.Suspicion> unreported = gateway.quarantine().news(gateway.nowMillis());
+        List<RequestQuarantine.Suspicion> unreported = gateway.quarantine().pendingUpdates(gateway.nowMillis());
         List<String> leaving = gateway.serverAnnouncements().nextLeavingReport();
         byte[] bytes = PeerCodec.encodeState(
                 new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), unreported, leaving, dutyStatus.get()));
         byte[] fullBytes = bytes;
         int fullReportIndex = -1;
         if (!standing.isEmpty() && !addresses.isEmpty()) {
-            List<Quarantine.Suspicion> all = new ArrayList<>(unreported);
+            List<RequestQuarantine.Suspicion> all = new ArrayList<>(unreported);
             all.addAll(standing);
             fullBytes = PeerCodec.encodeState(
                     new PeerCodec.PeerMessage(state, List.copyOf(pendingPrefixes), all, leaving, dutyStatus.get()));
@@ -259,7 +259,7 @@
         }
         addPeerAddress(report.address());
         dutyListener.accept(report.name(), message.dutyStatus());
-        gateway.budget().nodes(table.nodeCount());
+        gateway.budget().nodeCount(table.nodeCount());
         for (PeerCodec.CachedPrefix parts : message.cachedPrefixes()) {
             gateway.promptSentByPeer(parts.instanceId(), parts.parts());
         }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
@@ -15,7 +15,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.Future;
-import org.tanagerhinge.core.attempt.AttemptEnd;
+import org.tanagerhinge.core.attempt.AttemptFailure;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
 import org.tanagerhinge.core.relay.PlacementPolicy;
 import org.tanagerhinge.core.relay.PlacementRequest;
@@ -102,7 +102,7 @@
                     gateway.pool().release(fresh);
                 }
             } else if (fresh == null) {
-                fail(AttemptEnd.NOT_SENT, "could not connect");
+                fail(AttemptFailure.NOT_SENT, "could not connect");
             } else {
                 transmit(fresh);
             }
@@ -124,7 +124,7 @@
         if (!finished && response == null && exchange.takeRetryBudget()) {
             retryBudgetTaken = true;
             connection.abort();
-            fail(AttemptEnd.SILENT, "no response in time");
+            fail(AttemptFailure.SILENT, "no response in time");
         }
     }
 
@@ -132,7 +132,7 @@
     void abandonIfSilent(long silentMillis) {
         if (streaming && server.silenceMillis(gateway.nowMillis()) > silentMillis) {
             connection.abort();
-            fail(AttemptEnd.SILENT, "server stopped sending events");
+            fail(AttemptFailure.SILENT, "server stopped sending events");
         }
     }
 
@@ -150,9 +150,9 @@
         metadata.load().ifPresent(load -> gateway.loadReported(server, load));
         if (status == 421) {
             gateway.serverReplaced(server);
-            failKeepingConnection(AttemptEnd.WRONG_SERVER, "another server instance answers at this address");
+            failKeepingConnection(AttemptFailure.WRONG_SERVER, "another server instance answers at this address");
         } else if (metadata.notExecuted()) {
-            failKeepingConnection(AttemptEnd.NOT_RUN, "server rejected the request with status " + status);
+            failKeepingConnection(AttemptFailure.NOT_RUN, "server rejected the request with status " + status);
         } else {
             handleResponse(response, metadata);
         }
@@ -165,12 +165,12 @@
         }
         if (!acceptable(response, metadata)) {
             connection.abort();
-            fail(AttemptEnd.BROKEN, "response is unsigned or has a content coding");
+            fail(AttemptFailure.BROKEN, "response is unsigned or has a content coding");
         } else if (status >= 500 && progress.headForwarded()) {
-            failKeepingConnection(AttemptEnd.SERVER_ERROR, "server responded with status " + status);
+            failKeepingConnection(AttemptFailure.SERVER_ERROR, "server responded with status " + status);
         } else if (status >= 500 && exchange.takeRetryBudget()) {
             retryBudgetTaken = true;
-            failKeepingConnection(AttemptEnd.SERVER_ERROR, "server responded with status " + status);
+            failKeepingConnection(AttemptFailure.SERVER_ERROR, "server responded with status " + status);
         } else {
             beginResponse(response, metadata);
         }
@@ -190,7 +190,7 @@
         }
         if (progress.headForwarded()) {
             connection.abort();
-            fail(AttemptEnd.CUT, "server responded with status " + status + " to a resumed stream");
+            fail(AttemptFailure.CUT, "server responded with status " + status + " to a resumed stream");
             return;
         }
         buffered = Unpooled.compositeBuffer(64);
@@ -229,7 +229,7 @@
         }
         if (!finished && events.oversized()) {
             connection.abort();
-            fail(AttemptEnd.BROKEN, "unterminated event exceeds 1 MiB");
+            fail(AttemptFailure.BROKEN, "unterminated event exceeds 1 MiB");
         }
     }
 
@@ -247,7 +247,7 @@
     @Override
     public void responseCompleted() {
         if (events != null && events.hasPartialEvent()) {
-            fail(progress.headForwarded() ? AttemptEnd.CUT : AttemptEnd.BROKEN, "stream ended inside an event");
+            fail(progress.headForwarded() ? AttemptFailure.CUT : AttemptFailure.BROKEN, "stream ended inside an event");
             return;
         }
         release();
@@ -276,17 +276,17 @@
     }
 
     @Override
-    public void attemptFailed(AttemptEnd end, String reason) {
-        fail(progress.headForwarded() && end == AttemptEnd.BROKEN ? AttemptEnd.CUT : end, reason);
+    public void attemptFailed(AttemptFailure end, String reason) {
+        fail(progress.headForwarded() && end == AttemptFailure.BROKEN ? AttemptFailure.CUT : end, reason);
     }
 
     /** Fails the attempt but lets the connection discard the rest of the response and stay usable. */
-    private void failKeepingConnection(AttemptEnd end, String reason) {
+    private void failKeepingConnection(AttemptFailure end, String reason) {
         connection.detach(() -> {});
         fail(end, reason);
     }
 
-    private void fail(AttemptEnd end, String reason) {
+    private void fail(AttemptFailure end, String reason) {
         if (finished) {
             return;
         }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.tanagerhinge.core.attempt.AttemptEnd;
+import org.tanagerhinge.core.attempt.AttemptFailure;
 import org.tanagerhinge.core.attempt.AttemptHistory;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
 import org.tanagerhinge.core.relay.AdmissionControl;
@@ -116,7 +116,7 @@
         timer = gateway.schedule(this::deadlineExpired, Math.max(1, remainingMillis()));
         history = AttemptHistory.of(route.attemptTerms());
         service = route.service(metadata.attemptId().hashCode());
-        gateway.budget().request(service, gateway.nowMillis());
+        gateway.budget().recordRequest(service, gateway.nowMillis());
         telemetry.routed(route, workspace, service, rank(), remainingMillis());
         startAttempt();
     }
@@ -141,7 +141,7 @@
         }
         ServerInstance chosen = placed.get().server();
         if (gateway.enabled(Mechanism.RANK_GATE)
-                && history.sends() == 0
+                && history.sendCount() == 0
                 && gateway.rankGate().mustYield(rank(), chosen.instanceId(), nowMillis)) {
             telemetry.yieldedToUrgent(chosen, rank());
             refuse(Refusal.notRun(ResultCode.QUEUE_FULL, gateway.retryAfterMillis()));
@@ -151,7 +151,7 @@
             return;
         }
         triedServers.add(chosen.id());
-        history.sent();
+        history.recordSend();
         telemetry.sent(placed.get(), candidates.size(), level(placed.get()));
         attempt = new RelayAttempt(gateway, this, request, placed.get());
         attempt.start();
@@ -161,7 +161,7 @@
      * Refuses a least urgent request that could not be answered in time at the chosen server; returns whether it did.
      */
     private boolean rejectedByAdmission(PlacementPolicy.Decision placed) {
-        if (history.sends() > 0
+        if (history.sendCount() > 0
                 || !gateway.enabled(Mechanism.ADMISSION)
                 || !config.isLeastUrgent(workspace, route, service)) {
             return false;
@@ -176,9 +176,9 @@
     }
 
     private OptionalLong quarantineMillis(long nowMillis) {
-        return gateway.quarantine().empty()
+        return gateway.quarantine().isEmpty()
                 ? OptionalLong.empty()
-                : gateway.quarantine().heldMillis(fingerprint(), nowMillis);
+                : gateway.quarantine().remainingMillis(fingerprint(), nowMillis);
     }
 
     private void failWithoutServer() {
@@ -281,16 +281,16 @@
     /** Takes a retry from the budget for a request that may have been executed; returns whether it may be retried. */
     boolean takeRetryBudget() {
         return gateway.enabled(Mechanism.RETRIES)
-                && history.couldRepeatAfterRun(remainingMillis())
-                && gateway.budget().take(service, gateway.nowMillis());
+                && history.couldRetryAfterRun(remainingMillis())
+                && gateway.budget().tryTake(service, gateway.nowMillis());
     }
 
     /**
      * Retries a failed attempt or ends the exchange; {@code retryBudgetTaken} tells whether the budget was charged
      * already.
      */
-    void attemptFailed(RelayAttempt ended, AttemptEnd end, String reason, boolean retryBudgetTaken) {
-        history.ended(end.mayHaveRun());
+    void attemptFailed(RelayAttempt ended, AttemptFailure end, String reason, boolean retryBudgetTaken) {
+        history.recordEnd(end.mayHaveRun());
         if (end.mayHaveRun()) {
             markExecutionStarted();
         }
@@ -300,15 +300,15 @@
                 reason,
                 ended.startedAtMillis(),
                 progress,
-                end.broken() ? Optional.of(fingerprint()) : Optional.empty());
+                end.connectionBroken() ? Optional.of(fingerprint()) : Optional.empty());
         attempt = null;
-        if (end.broken()) {
+        if (end.connectionBroken()) {
             gateway.crashDetector().connectionBroke(ended.server(), fingerprint());
         }
-        boolean retry = history.mayRepeat(end.mayHaveRun(), remainingMillis())
+        boolean retry = history.mayRetry(end.mayHaveRun(), remainingMillis())
                 && (!end.mayHaveRun() || gateway.enabled(Mechanism.RETRIES))
                 && (!progress.headForwarded() || canResume())
-                && (retryBudgetTaken || !end.arrived() || gateway.budget().take(service, gateway.nowMillis()));
+                && (retryBudgetTaken || !end.reachedServer() || gateway.budget().tryTake(service, gateway.nowMillis()));
         if (retry) {
             telemetry.retried(progress.headForwarded(), progress);
             startAttempt();
@@ -333,8 +333,8 @@
     void responseCompleted(int status, ServerInstance server) {
         attempt = null;
         gateway.responseReceived(server, status);
-        if (status < MIN_ERROR_STATUS && !gateway.quarantine().empty()) {
-            gateway.quarantine().served(fingerprint(), gateway.nowMillis());
+        if (status < MIN_ERROR_STATUS && !gateway.quarantine().isEmpty()) {
+            gateway.quarantine().recordCompletedRun(fingerprint(), gateway.nowMillis());
         }
         telemetry.completed(status, progress);
         finish();
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Locale;
 import java.util.Optional;
-import org.tanagerhinge.core.attempt.AttemptEnd;
+import org.tanagerhinge.core.attempt.AttemptFailure;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
 import org.tanagerhinge.core.relay.PlacementPolicy;
 import org.tanagerhinge.core.relay.Route;
@@ -79,7 +79,7 @@
 
     /** Logs a failed attempt; {@code suspect} holds the request's fingerprint if its connection broke. */
     void attemptFailed(
-            AttemptEnd end,
+            AttemptFailure end,
             String reason,
             long startedAtMillis,
             ResponseProgress progress,
--- a/gateway/src/main/java/org/tanagerhinge/gateway/StoreSynchronizer.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/StoreSynchronizer.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.Consumer;
-import org.tanagerhinge.core.attempt.Quarantine;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
+import org.tanagerhinge.core.attempt.RequestQuarantine;
 import org.tanagerhinge.node.log.LogEvent;
 import org.tanagerhinge.node.log.LogField;
 import org.tanagerhinge.node.log.LogLine;
@@ -276,10 +276,10 @@
     }
 
     private void quarantine(RequestFingerprint request) {
-        if (gateway.quarantine().heldMillis(request, gateway.nowMillis()).isEmpty()) {
+        if (gateway.quarantine().remainingMillis(request, gateway.nowMillis()).isEmpty()) {
             return;
         }
-        store.quarantine(request, Duration.ofMillis(Quarantine.HOLD_MILLIS), reply -> {
+        store.quarantine(request, Duration.ofMillis(RequestQuarantine.QUARANTINE_MILLIS), reply -> {
             if (reply instanceof MetadataStore.Success<Long>) {
                 markReachable();
             } else {
--- a/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.tanagerhinge.core.attempt.Quarantine;
 import org.tanagerhinge.core.attempt.RequestFingerprint;
+import org.tanagerhinge.core.attempt.RequestQuarantine;
 import org.tanagerhinge.core.duty.DutyAnnouncement;
 import org.tanagerhinge.core.relay.PeerReport;
 import org.tanagerhinge.core.relay.ServerAnnouncements;
@@ -23,20 +23,22 @@
     private static final PeerReport REPORT =
             new PeerReport("gateway-0", 1, 2, "127.0.0.1:7200", true, 3, 4, 5, 250, Map.of(), Map.of());
 
-    private static PeerCodec.PeerMessage message(List<Quarantine.Suspicion> suspicions, List<String> leaving) {
+    private static PeerCodec.PeerMessage message(List<RequestQuarantine.Suspicion> suspicions, List<String> leaving) {
         return new PeerCodec.PeerMessage(
                 REPORT, List.of(), suspicions, leaving, new DutyAnnouncement(1_700_000_000_123L, 150, 412));
     }
 
     @Test
     void suspicionsAndLeavingServersSurviveRoundTrip() throws InvalidProtocolBufferException {
-        List<Quarantine.Suspicion> suspicions = List.of(
-                new Quarantine.Suspicion(
+        List<RequestQuarantine.Suspicion> suspicions = List.of(
+                new RequestQuarantine.Suspicion(
                         new RequestFingerprint(-1, Long.MIN_VALUE),
-                        List.of(new Quarantine.End(-7, 0), new Quarantine.End(7, Quarantine.HOLD_MILLIS)),
+                        List.of(
+                                new RequestQuarantine.CrashReport(-7, 0),
+                                new RequestQuarantine.CrashReport(7, RequestQuarantine.QUARANTINE_MILLIS)),
                         Optional.empty(),
-                        Quarantine.HOLD_MILLIS),
-                new Quarantine.Suspicion(new RequestFingerprint(0, 0), List.of(), Optional.of(0L), 0));
+                        RequestQuarantine.QUARANTINE_MILLIS),
+                new RequestQuarantine.Suspicion(new RequestFingerprint(0, 0), List.of(), Optional.of(0L), 0));
         PeerCodec.PeerMessage sent = message(suspicions, List.of("i-1@2", "i-2"));
         assertEquals(sent, PeerCodec.decodeState(PeerCodec.encodeState(sent)));
     }
@@ -44,16 +46,16 @@
     /** Covers a crash of servers with 128 slots, whose requests all become suspects, with servers that leave. */
     @Test
     void largestReportStaysUnderAQuarterOfTheControlBandwidth() {
-        Quarantine quarantine = Quarantine.create();
+        RequestQuarantine quarantine = RequestQuarantine.create();
         ServerAnnouncements words = ServerAnnouncements.create();
         for (int i = 0; i < 128; i++) {
             for (String instanceId : List.of("i-1@1700000000000", "i-2@1700000000000", "i-3@1700000000000")) {
-                quarantine.ended(new RequestFingerprint(i, i), instanceId, 0);
+                quarantine.recordCrash(new RequestFingerprint(i, i), instanceId, 0);
             }
             words.recordLeaving("i-0123456789" + i + "@1700000000000", 0);
         }
-        List<Quarantine.Suspicion> all = new ArrayList<>(quarantine.news(1_000_000));
-        all.addAll(quarantine.standing(1_000_000));
+        List<RequestQuarantine.Suspicion> all = new ArrayList<>(quarantine.pendingUpdates(1_000_000));
+        all.addAll(quarantine.nextRefreshes(1_000_000));
         int bytes = PeerCodec.encodeState(message(all, words.nextLeavingReport())).length
                 - PeerCodec.encodeState(message(List.of(), List.of())).length;
         assertTrue(bytes < CONTROL_BYTES_PER_SECOND / 4, bytes + " bytes");
