--- a/core/src/main/java/org/tanagerhinge/core/relay/PlacementPolicy.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PlacementPolicy.java
@@ -32,8 +32,7 @@
     default void updateMinEventGap(long minGapMillis) {}
 
     /** Records that another node sent parts of a prompt to an engine, at a time in milliseconds. */
-    default void recordPeerPrefill(
-            ServerInstance server, ServiceConfig service, List<PromptPart> parts, long nowMillis) {}
+    default void recordPeerSent(ServerInstance server, ServiceConfig service, List<PromptPart> parts, long nowMillis) {}
 
     /** Discards the state kept for a server instance that was removed. */
     default void forgetInstance(String instanceId) {}
--- a/core/src/main/java/org/tanagerhinge/core/relay/PrefillOrder.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PrefillOrder.java
@@ -13,8 +13,8 @@
  */
 final class PrefillOrder {
     /**
-     * Steps within a rank; each takes part of an engine's priority levels. With fewer, large prompts delay small
-     * ones.
+     * Steps within a rank. Steps beyond an engine's priority levels have no effect; with fewer steps, large prompts
+     * delay small ones.
      */
     static final int STEPS = 5;
     /** Upper bound of the first step, as a share of the route's target; the bound doubles with each further step. */
--- a/core/src/main/java/org/tanagerhinge/core/relay/PrefixCacheTracker.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PrefixCacheTracker.java
@@ -61,7 +61,7 @@
     }
 
     /** Records that parts of a prompt were sent to a server, at a time in milliseconds. */
-    public void recordPrefill(String instanceId, List<PromptPart> parts, long capacityTokens, long nowMillis) {
+    public void recordSent(String instanceId, List<PromptPart> parts, long capacityTokens, long nowMillis) {
         ServerCache cache = cacheByInstanceId.computeIfAbsent(instanceId, id -> new ServerCache());
         for (PromptPart part : parts) {
             CachedPart previous = cache.parts.remove(part.id());
--- a/core/src/main/java/org/tanagerhinge/core/relay/PromptAwarePlacement.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PromptAwarePlacement.java
@@ -94,9 +94,8 @@
     }
 
     @Override
-    public void recordPeerPrefill(
-            ServerInstance server, ServiceConfig service, List<PromptPart> parts, long nowMillis) {
-        prefixCaches.recordPrefill(server.instanceId(), parts, service.cacheCapacityTokens(), nowMillis);
+    public void recordPeerSent(ServerInstance server, ServiceConfig service, List<PromptPart> parts, long nowMillis) {
+        prefixCaches.recordSent(server.instanceId(), parts, service.cacheCapacityTokens(), nowMillis);
     }
 
     @Override
@@ -238,7 +237,7 @@
         if (!request.service().hasModelEngines()) {
             return;
         }
-        prefixCaches.recordPrefill(
+        prefixCaches.recordSent(
                 decision.server().instanceId(),
                 request.prompt().sharedParts(),
                 request.service().cacheCapacityTokens(),
@@ -253,9 +252,8 @@
 
     @Override
     public void recordPrefill(PlacementRequest request, Decision decision, long firstOutputMillis) {
-        // Shared parts may be cached without this node's knowledge, above all after a restart. Counting them as
-        // prefilled
-        // would overestimate the prefill rate and classify large prompts as short.
+        // Shared parts may be cached without this node's knowledge, above all after a restart. If they counted as
+        // prefilled, the prefill rate would be overestimated and large prompts would count as short ones.
         prefillRate.recordPrefill(
                 request.prompt().inputTokens() - request.prompt().sharedTokens(), firstOutputMillis);
     }
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServerHealth.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerHealth.java
@@ -10,9 +10,9 @@
  */
 public final class ServerHealth {
     /** Consecutive failures that eject; single ones occur at healthy servers too (a lost response). */
-    private static final int MAX_CONSECUTIVE_FAILURES = 3;
+    private static final int EJECTION_FAILURE_COUNT = 3;
     /** Failure rate that ejects; a healthy service answers up to 14 in 100 requests with an error of its own. */
-    private static final double MAX_FAILURE_RATE = 0.5;
+    private static final double EJECTION_FAILURE_RATE = 0.5;
     /** Weight of the newest result in the failure rate, which covers about the last ten requests. */
     private static final double SMOOTHING = 0.12;
     /** First ejection time: about what a server needs to restart or to be removed. */
@@ -63,7 +63,7 @@
     public void recordFailure(long nowMillis) {
         consecutiveFailures++;
         failureRate = failureRate * (1 - SMOOTHING) + SMOOTHING;
-        if (consecutiveFailures >= MAX_CONSECUTIVE_FAILURES || failureRate >= MAX_FAILURE_RATE || probing) {
+        if (consecutiveFailures >= EJECTION_FAILURE_COUNT || failureRate >= EJECTION_FAILURE_RATE || probing) {
             eject(nowMillis);
         }
     }
--- a/core/src/test/java/org/tanagerhinge/core/relay/AdmissionControlTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/AdmissionControlTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who is turned away when engines have more to read than they can in time, and when they should come back. */
+/** Tests which requests are rejected under overload, and when their callers should retry. */
 class AdmissionControlTest {
     private static Route route(String name, long targetMillis, int priority) {
         List<WeightedService> shares = List.of(new WeightedService("model", 1));
@@ -34,18 +34,17 @@
     }
 
     /**
-     * Symptom: of 12,872 long prompts of the last rank 4,864 failed and 4,708 were late, and so were most requests of the
-     * first ranks. Events: a burst asks for more reading than engines can do. Cause: nothing was turned away, and engines read
-     * prompts whose callers had left.
+     * Guards against overload by long prompts of the least urgent rank: without rejection, engines prefill prompts
+     * whose callers have left, and more urgent requests are late as well.
      */
     @ParameterizedTest
     @CsvSource({
-        // expected wait, time left, turned away
+        // expected wait, time left, rejected
         "0,     8000, false",
         "900,   8000, false",
         "1000,  8000, true",
         "5000,  8000, true",
-        // it came back as it was told: it may wait longer
+        // little time left counts as a retry, which may wait longer
         "1000,  7000, false",
         "1400,  7000, false",
         "1500,  7000, true",
@@ -62,7 +61,7 @@
         assertEquals(OptionalLong.empty(), AdmissionControl.retryAfterMillis(route("r", 0, 2), 60_000, 8_000, 0.5));
     }
 
-    /** Load: a burst is turned away in one moment; were all told the same time, they would be the next burst. */
+    /** Guards against callers that are rejected together and retry together, which would be the next burst. */
     @ParameterizedTest
     @CsvSource({"1000, 8000", "3000, 8000", "20000, 8000", "20000, 900", "20000, 1"})
     void spreadsRetryAfterWithinAThirdOfTheTimeLeft(double expectedWaitMillis, long timeLeftMillis) {
@@ -72,17 +71,15 @@
         long maxRetryAfterMillis = AdmissionControl.retryAfterMillis(route, expectedWaitMillis, timeLeftMillis, 1)
                 .orElseThrow();
         assertTrue(
-                minRetryAfterMillis >= Math.min(300, Math.max(1, timeLeftMillis / 3)), "first " + minRetryAfterMillis);
-        assertTrue(maxRetryAfterMillis <= Math.max(1, timeLeftMillis / 3), "last " + maxRetryAfterMillis);
+                minRetryAfterMillis >= Math.min(300, Math.max(1, timeLeftMillis / 3)),
+                "minimum " + minRetryAfterMillis);
+        assertTrue(maxRetryAfterMillis <= Math.max(1, timeLeftMillis / 3), "maximum " + maxRetryAfterMillis);
         assertTrue(
                 maxRetryAfterMillis > minRetryAfterMillis || maxRetryAfterMillis >= timeLeftMillis / 3,
                 minRetryAfterMillis + " to " + maxRetryAfterMillis);
     }
 
-    /**
-     * Symptom: gateways that had just started turned callers away though engines had nothing to do. Cause: they took engines
-     * for a third as fast as they are, having measured nothing yet.
-     */
+    /** Guards against rejections by a node that has just started, whose assumed prefill rate may be far too low. */
     @Test
     void expectsNoWaitUntilThePrefillRateIsMeasured() {
         PromptAwarePlacement placement = PromptAwarePlacement.create();
@@ -103,7 +100,7 @@
 
     @ParameterizedTest
     @CsvSource({
-        // priority of the route and of the workspace, whether nothing is less urgent
+        // priority of the route and of the workspace (-1: none), whether the rank is the least urgent
         "0, -1, false",
         "1, -1, false",
         "2, -1, true",
--- a/core/src/test/java/org/tanagerhinge/core/relay/LanePlacementTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/LanePlacementTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which engines long and short prompts go to. */
+/** Tests which engines long and short prompts go to. */
 class LanePlacementTest {
     private static final ServiceConfig ENGINES = ServiceConfig.of("model", 300, 48, 300_000);
 
     @ParameterizedTest
     @CsvSource({
-        // engines, short requests running, short and long tokens a second, expected
+        // engines, short requests in flight, short and long tokens per second, expected
         "8,  0,   0,     0,      8",
         "8,  50,  15000, 60000,  2",
         "8,  100, 30000, 60000,  3",
@@ -42,7 +42,10 @@
                         false));
     }
 
-    /** Load: short prompts that arrive by chance beside streams; the quicker each is read, the more may be read in all. */
+    /**
+     * Guards against a fixed prefill share: the faster a prompt is prefilled and the longer the gap, the more may be
+     * prefilled.
+     */
     @Test
     void fasterPrefillAndLongerGapsAllowALargerPrefillShare() {
         double slow = LaneSizing.shortPrefillShare(120, 19.3);
@@ -56,10 +59,7 @@
         return Prompt.of(tokens, 80, List.of(new PromptPart(shared, tokens / 2), new PromptPart("own" + tokens, 10)));
     }
 
-    /**
-     * Symptom: streams of short prompts paused too long. Events: long prompts come beside them. Cause: an engine that
-     * reads a long prompt makes its other streams wait for each piece of it.
-     */
+    /** Guards against event gaps of short streams that are too long because the engine also prefills long prompts. */
     @Test
     void longAndShortPromptsUseSeparateEngines() {
         PromptAwarePlacement placement = PromptAwarePlacement.create();
@@ -88,14 +88,13 @@
             }
         }
         for (String id : shortCounts.keySet()) {
-            assertFalse(longCounts.containsKey(id), "engine " + id + " has both");
+            assertFalse(longCounts.containsKey(id), "engine " + id + " got long and short prompts");
         }
     }
 
     /**
-     * Symptom: the count of short requests in progress fell below none, and the short lane was too small. Events: a
-     * prompt is sent as a long one; faster reading is measured; it ends, and is a short one by the new speed. Cause: an
-     * ended request was judged anew.
+     * Guards against a negative count of short requests in flight: a prompt sent as long may count as short by the
+     * time it ends, if the measured prefill rate has risen.
      */
     @Test
     void requestEndsInTheLaneItWasSentInAfterTheMeasuredRateChanged() {
@@ -117,9 +116,8 @@
     }
 
     /**
-     * Symptom: after a restart of gateways, short prompts of the first rank were late for ten seconds. Events: a gateway that
-     * remembers nothing sends prompts of 17,000 tokens to engines that hold 13,300 of them, and has the first output after
-     * 50 ms. Cause: it took engines to read 340 tokens a millisecond, and long prompts for short ones.
+     * Guards against an overestimated prefill rate after a restart: cached tokens that the node doesn't know of would
+     * count as prefilled, and long prompts as short.
      */
     @Test
     void unknownCacheHitsDoNotInflateThePrefillRate() {
@@ -139,9 +137,8 @@
     }
 
     /**
-     * Symptom: 59 to 104 questions were at the one engine of the short lane, which runs 48, and were left by their callers
-     * after two seconds, while engines of the long lane had places. Events: half of the engines are lost in a burst of long
-     * prompts. Cause: a lane's requests never went to the other lane.
+     * Guards against short requests that time out in a full lane while engines of the other lane have free slots, for
+     * example after the loss of engines.
      */
     @Test
     void requestsOverflowIntoTheOtherLaneWhenTheirsIsFull() {
@@ -178,12 +175,8 @@
     }
 
     /**
-     * In a sudden burst of questions 21 of 240 got nothing in five seconds while plans began. Two engines of eight were the
-     * short lane; both were full, so that questions might go to the six others as well. They still went to the full ones, as
-     * what there was to read at the others weighed more: a question that waits for a
-     * place counted as little reading. Lines of questions of that second, at engines with 48 places: {@code running=44
-     * reading=3330}, {@code 55, 6477}, {@code 64, 11393}, {@code 69, 12544}, all left by their callers after two seconds without
-     * an event; at the same time the others were at {@code running=10 reading=17258} to {@code 26, 28384}.
+     * Guards against overflow that stays at the full engine: it has few pending tokens, so the cost of pending tokens
+     * elsewhere must not outweigh the lack of a free slot.
      */
     @ParameterizedTest
     @CsvSource({"49, 10, 17258", "55, 14, 26873", "69, 26, 29220", "69, 47, 60000"})
@@ -217,11 +210,7 @@
         }
     }
 
-    /**
-     * Symptom: in a long burst of long prompts of the last rank, 1,229 of 6,229 short requests of the first rank failed and
-     * 3,635 were late. Events: the burst fills all places of the long lane. Cause: the long prompts that found no place there
-     * went to the short lane and filled it too.
-     */
+    /** Guards against long prompts of a less urgent rank that fill the short lane too once their own lane is full. */
     @ParameterizedTest
     @CsvSource({"2, false", "0, true", "1, true"})
     void lessUrgentLongPromptsStayInTheirFullLane(int longRank, boolean overflows) {
@@ -281,9 +270,9 @@
         PrefixCacheTracker caches = PrefixCacheTracker.create();
         Prompt old = Prompt.of(600, 1, List.of(new PromptPart("a", 600)));
         Prompt recent = Prompt.of(500, 1, List.of(new PromptPart("b", 500)));
-        caches.recordPrefill("e", old.parts(), 1_000, 0);
+        caches.recordSent("e", old.parts(), 1_000, 0);
         assertEquals(600, caches.cachedTokens("e", old));
-        caches.recordPrefill("e", recent.parts(), 1_000, 0);
+        caches.recordSent("e", recent.parts(), 1_000, 0);
         assertEquals(0, caches.cachedTokens("e", old));
         assertEquals(500, caches.cachedTokens("e", recent));
         assertEquals(0, caches.cachedTokens("other", recent));
--- a/core/src/test/java/org/tanagerhinge/core/relay/PeerTableTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PeerTableTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Who is heard, in which order, and who reads the store for all. */
+/** Tests which peer reports are accepted and which node reads the store for all. */
 class PeerTableTest {
     private static PeerReport report(String name, long incarnation, long sequence, boolean storeReachable) {
         return report(name, incarnation, sequence, storeReachable, 250);
@@ -32,19 +32,19 @@
     @Test
     void presentNodeWithTheSmallestNameAndAReachableStoreIsTheReader() {
         PeerTable table = PeerTable.of("b");
-        assertTrue(table.isStoreReader(true, 0), "alone");
+        assertTrue(table.isStoreReader(true, 0), "no peers");
         table.accept(report("a", 1, 1, true), 0);
         assertFalse(table.isStoreReader(true, 100));
-        assertTrue(table.isStoreReader(true, 5_000), "the other has fallen silent");
+        assertTrue(table.isStoreReader(true, 5_000), "the peer is absent");
         table.accept(report("a", 1, 2, false), 5_000);
-        assertTrue(table.isStoreReader(true, 5_100), "the store turns the other away");
+        assertTrue(table.isStoreReader(true, 5_100), "the peer can't reach the store");
         table.accept(report("c", 1, 1, true), 5_000);
-        assertFalse(table.isStoreReader(false, 5_100), "the store turns this one away");
+        assertFalse(table.isStoreReader(false, 5_100), "this node can't reach the store");
     }
 
     /**
-     * Symptom: with many gateways several read the store, by turns. Events: reports come seldom, since there are many
-     * peers to tell; one is lost. Cause: a fixed time after which a peer counts as away.
+     * Guards against several store readers: with many peers reports are rare, and a fixed timeout would make a peer
+     * absent after one lost report.
      */
     @Test
     void presenceTimeoutGrowsWithTheReportInterval() {
@@ -59,23 +59,22 @@
         PeerTable table = PeerTable.of("b");
         assertTrue(table.accept(report("a", 1, 5, true), 0));
         assertFalse(table.accept(report("a", 1, 4, false), 1));
-        assertTrue(table.accept(report("a", 2, 1, true), 2), "its process has started again");
-        assertFalse(table.accept(report("b", 9, 9, true), 3), "its own");
+        assertTrue(table.accept(report("a", 2, 1, true), 2), "the peer restarted");
+        assertFalse(table.accept(report("b", 9, 9, true), 3), "the node's own report");
         assertEquals(2, table.loads(10).get("a").inFlight());
-        assertTrue(table.loads(5_000).isEmpty(), "old reports say nothing of now");
+        assertTrue(table.loads(5_000).isEmpty(), "the load of an absent peer doesn't count");
     }
 
     /**
-     * Symptom: after a restart a node's load was invisible to its peers for half a minute, and two nodes read the store.
-     * Events: the time of day of its host steps back, its process is killed and starts again. Cause: incarnations were
-     * taken from the time of day, so the new one looked older than the one before.
+     * Guards against ignoring a restarted peer whose wall clock stepped back: its incarnation isn't greater than the
+     * previous one.
      */
     @Test
     void acceptsARestartedPeerWithASmallerIncarnation() {
         PeerTable table = PeerTable.of("b");
         table.accept(report("a", 9_000, 70, true), 0);
         assertTrue(table.accept(report("a", 4_000, 1, true), 100));
-        assertFalse(table.accept(report("a", 9_000, 71, true), 110), "a late report of the process that has ended");
+        assertFalse(table.accept(report("a", 9_000, 71, true), 110), "a delayed report of the previous incarnation");
         assertTrue(table.accept(report("a", 4_000, 2, true), 120));
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/PrefixAffinityTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PrefixAffinityTest.java
@@ -13,9 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Symptom: 3 to 5 million tokens of shared parts were read again on each day with a loss of power, a sixth of all reading.
- * Events: all gateways start again and remember nothing, while engines hold all parts still. Cause: each gateway sent a part
- * that it knew at no engine to the engine that had least to do.
+ * Tests the preferred engines of shared prompt parts. Guards against prefilling cached parts again after a restart of
+ * all nodes: with empty cache estimates, each node would send a part to the least loaded engine.
  */
 class PrefixAffinityTest {
     private static final ServiceConfig ENGINES = ServiceConfig.of("model", 300, 48, 1_200_000);
@@ -81,7 +80,7 @@
                     ? 1
                     : 0;
         }
-        assertTrue(same < 25, same + " of 50");
+        assertTrue(same < 25, same + " of 50 at the same engine");
     }
 
     @Test
@@ -97,8 +96,8 @@
                 assertEquals(before, after);
             }
         }
-        counts.forEach(
-                (engine, count) -> assertTrue(count > PARTS / 20 && count < PARTS / 5, engine.id() + " has " + count));
+        counts.forEach((engine, count) ->
+                assertTrue(count > PARTS / 20 && count < PARTS / 5, engine.id() + " parts: " + count));
     }
 
     @Test
--- a/core/src/test/java/org/tanagerhinge/core/relay/PrefixPlacementTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PrefixPlacementTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which engines a prompt with shared parts may go to, and what these fetch from each other. */
+/** Tests which engines a prompt with shared parts may go to, and which prefixes engines fetch from each other. */
 class PrefixPlacementTest {
     private static final ServiceConfig LINKED = new ServiceConfig("model", 300, 48, 1_200_000, 18_432, 180_000_000);
     private static final ServiceConfig UNLINKED = ServiceConfig.of("model", 300, 48, 1_200_000);
     private static final ServiceConfig SLOW_LINKS = new ServiceConfig("model", 300, 48, 1_200_000, 18_432, 4_000_000);
-    /** Longer than a prompt that was sent is taken to wait. */
+    /** Longer than the time after which a prompt that was sent counts as prefilled. */
     private static final long PREFILLED_MILLIS = 2_000;
 
     private static List<ServerInstance> engines(int count) {
@@ -57,9 +57,8 @@
     }
 
     /**
-     * Symptom: half of all prompt tokens were shared parts read again, and engines read for seconds what was late then. Events:
-     * engines are all busy, each a little more or less at each moment. Cause: a prompt left the engines that hold its parts for
-     * any that had less to do, which made it read them, and so all engines read and kept the same parts.
+     * Guards against placement by load alone: with uneven load, prompts would leave the engines that have their parts
+     * cached, and all engines would prefill and cache the same parts.
      */
     @Test
     void fewEnginesPrefillASharedPartUnderUnevenLoad() {
@@ -84,16 +83,15 @@
     }
 
     /**
-     * Symptom: engines that came back after a crash read at their limit for five seconds while others had nothing to do.
-     * Events: a part that all prompts share is held everywhere, so some of each prompt is held by every engine. Cause: its
-     * home was preferred only while nobody held anything of it.
+     * Guards against overload of restarted engines: a part that all prompts share is cached everywhere, and must not
+     * count as a cached prefix that overrides the preferred engine.
      */
     @Test
     void promptWithOnlyTheCommonPartCachedGoesToItsPreferredEngine() {
         List<ServerInstance> engines = engines(10);
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         for (ServerInstance engine : engines) {
-            placement.recordPeerPrefill(engine, LINKED, List.of(new PromptPart("all", 2_000)), 0);
+            placement.recordPeerSent(engine, LINKED, List.of(new PromptPart("all", 2_000)), 0);
         }
         for (int prefix = 0; prefix < 20; prefix++) {
             PlacementRequest request = request(LINKED, prefix, prefix);
@@ -110,7 +108,7 @@
             List<ServerInstance> candidates,
             ServerInstance holder,
             long now) {
-        placement.recordPeerPrefill(
+        placement.recordPeerSent(
                 holder, service, request(service, 1, 1).prompt().sharedParts(), 0);
         holder.updatePeerLoad(10, 500_000);
         PlacementPolicy.Decision placed =
@@ -129,15 +127,12 @@
         assertEquals(13_300, fetch.tokens());
     }
 
-    /**
-     * Symptom: log lines told of more fetched tokens than moved. Cause: what the chosen engine held itself was counted too.
-     */
+    /** Guards against counting tokens as fetched that the chosen engine has cached itself. */
     @Test
     void tokensCachedByTheChosenEngineAreNotFetched() {
         List<ServerInstance> engines = engines(6);
         PromptAwarePlacement placement = PromptAwarePlacement.create();
-        engines.forEach(
-                engine -> placement.recordPeerPrefill(engine, LINKED, List.of(new PromptPart("all", 2_000)), 0));
+        engines.forEach(engine -> placement.recordPeerSent(engine, LINKED, List.of(new PromptPart("all", 2_000)), 0));
         PlacementPolicy.PrefixFetch fetch = fetchFromBusyHolder(
                         placement, LINKED, engines, engines.get(2), PREFILLED_MILLIS)
                 .orElseThrow();
@@ -146,7 +141,7 @@
 
     @ParameterizedTest
     @CsvSource({
-        // how long ago the holder was sent the prompt, whether the holder may be asked
+        // milliseconds since the holder was sent the prompt, whether it may be the source of a fetch
         "100,  false",
         "900,  false",
         "1000, true",
@@ -170,7 +165,7 @@
         }
     }
 
-    /** What would go wrong: an engine waits for one that is leaving, silent or gone before it reads a prompt. */
+    /** Guards against an engine that waits for a source that is leaving, silent or removed. */
     @Test
     void nothingIsFetchedFromAnUnavailableEngine() {
         List<ServerInstance> engines = engines(6);
@@ -182,14 +177,15 @@
                 fetchFromBusyHolder(PromptAwarePlacement.create(), LINKED, others, leaving, PREFILLED_MILLIS));
     }
 
-    /** What would go wrong: another life of a server under its address is asked for what the life before had read. */
+    /**
+     * Guards against a fetch from a new instance of a server for a prefix that only the previous instance had cached.
+     */
     @Test
     void nothingIsFetchedFromARemovedInstance() {
         List<ServerInstance> engines = engines(6);
         PromptAwarePlacement placement = PromptAwarePlacement.create();
         ServerInstance holder = engines.get(2);
-        placement.recordPeerPrefill(
-                holder, LINKED, request(LINKED, 1, 1).prompt().sharedParts(), 0);
+        placement.recordPeerSent(holder, LINKED, request(LINKED, 1, 1).prompt().sharedParts(), 0);
         placement.forgetInstance(holder.instanceId());
         PlacementPolicy.Decision placed = placement
                 .place(request(LINKED, 1, 2), engines, PREFILLED_MILLIS)
@@ -209,7 +205,7 @@
 
     private static ServerInstance choose(PromptAwarePlacement placement, List<ServerInstance> engines, int prefix) {
         ServerInstance holder = engines.get(prefix % engines.size());
-        placement.recordPeerPrefill(
+        placement.recordPeerSent(
                 holder, LINKED, request(LINKED, prefix, 1).prompt().sharedParts(), 0);
         holder.updatePeerLoad(3, prefix * 10_000L);
         return placement
@@ -220,7 +216,7 @@
 
     @ParameterizedTest
     @CsvSource({
-        // short and long tokens a second, whether short ones are more urgent, expected short engines of 20
+        // short and long tokens per second, whether short ones are more urgent, expected short engines of 20
         "60000,  100000, false, 5",
         "300000, 900000, false, 8",
         "300000, 900000, true,  14",
--- a/core/src/test/java/org/tanagerhinge/core/relay/PriorityOrderTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PriorityOrderTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who yields to whom, and which prompts an engine reads first. */
+/** Tests which requests yield to others, and in which order engines prefill prompts. */
 class PriorityOrderTest {
     /**
-     * Symptom: questions got nothing while cards of over twice their size began. Events: engines leave until one is left;
-     * both kinds fill its places and its queue. Cause: whatever came was sent.
+     * Guards against starvation of urgent requests in a shortage of engines, when large, less urgent ones fill the
+     * slots and queues.
      */
     @Test
     void lessUrgentRequestsYieldWhereMoreUrgentOnesAreOverdue() {
@@ -28,32 +28,35 @@
         RankGate.PendingRequest second = RankGate.PendingRequest.of("e", 0, 400);
         gate.recordSent(first);
         gate.recordSent(second);
-        assertFalse(gate.mustYield(1, "e", 250), "nobody is overdue");
-        assertFalse(gate.mustYield(1, "e", 350), "one may be a lost answer");
+        assertFalse(gate.mustYield(1, "e", 250), "no request is overdue");
+        assertFalse(gate.mustYield(1, "e", 350), "a single overdue request may be a lost response");
         assertTrue(gate.mustYield(1, "e", 500));
-        assertFalse(gate.mustYield(0, "e", 500), "the most urgent never yield");
+        assertFalse(gate.mustYield(0, "e", 500), "the most urgent rank never yields");
         assertFalse(gate.mustYield(1, "other", 500));
         gate.recordSettled(second);
-        assertFalse(gate.mustYield(1, "e", 600), "the shortage is over");
+        assertFalse(gate.mustYield(1, "e", 600), "only one request is still overdue");
     }
     /**
-     * Load: a burst of prompts whose reading takes from a hundredth of the target to half of it. Symptom: all of them were
-     * late. Cause: engines read them in the order of arrival, and the small ones waited for the large ones.
+     * Guards against prefill in order of arrival, which makes a whole burst late since small prompts wait for large
+     * ones.
      */
     @Test
     void promptsWithLittlePrefillForTheirSizeGoFirst() {
         PrefillOrder order = PrefillOrder.create();
         Route plan = route(RouteKind.STREAM, true, 2);
         Prompt usual = Prompt.of(9_000, 50, List.of());
-        assertEquals(PrefillOrder.STEPS - 1, order.step(plan, usual, 9_000, 45), "new, takes two thirds of the target");
-        assertEquals(0, order.step(plan, usual, 300, 45), "held but for a little");
+        assertEquals(
+                PrefillOrder.STEPS - 1,
+                order.step(plan, usual, 9_000, 45),
+                "nothing cached, takes two thirds of the target");
+        assertEquals(0, order.step(plan, usual, 300, 45), "mostly cached");
         int half = order.step(plan, usual, 2_000, 45);
         assertTrue(half > 0 && half < PrefillOrder.STEPS - 1);
         Prompt small = Prompt.of(2_000, 50, List.of());
-        assertTrue(order.step(plan, small, 2_000, 45) > half, "as much reading, less of an answer");
+        assertTrue(order.step(plan, small, 2_000, 45) > half, "same prefill, smaller request");
         for (int held = 0, before = PrefillOrder.STEPS; held < 9_000; held += 500) {
             int step = order.step(plan, usual, 9_000 - held, 45);
-            assertTrue(step <= before, "less to read never goes later");
+            assertTrue(step <= before, "less prefill never goes later");
             before = step;
         }
     }
@@ -88,11 +91,9 @@
     }
 
     /**
-     * Quotes and questions were put back in mid-stream at engines without a free place while plans and drafts, which are of
-     * less urgent kinds, ran on there. The rank of the workspace went before that of the kind, so that the plan of a
-     * workspace of rank 0 had rank 1 and level 3, and the question of one of rank 1 had rank 3 and level 4 or 5. Levels also
-     * moved as the only workspace of a rank came or lost its keys, so that those of requests in progress and of new ones
-     * were numbers of two orders: with workspaces [0, 1] a plan had level 2, with [1] a question had level 4.
+     * Guards against preemption of requests by ones of a less urgent route: the route rank must go before the
+     * workspace rank, and the levels of a route rank must not depend on the workspace ranks in force, which change
+     * while requests are in flight.
      */
     @ParameterizedTest
     @CsvSource({"2", "3", "5", "10"})
@@ -119,11 +120,15 @@
             }
             assertTrue(
                     maxLevel < minNextLevel,
-                    "kind " + routeRank + " goes up to level " + maxLevel + ", the next one from " + minNextLevel);
+                    "route rank " + routeRank + " reaches level " + maxLevel + ", the next one starts at "
+                            + minNextLevel);
         }
     }
 
-    /** Where more urgent kinds are overdue a preferred workspace yields as well, as it would be put back there otherwise. */
+    /**
+     * Guards against a preferred workspace that doesn't yield to overdue requests of more urgent routes; the server
+     * would preempt it.
+     */
     @Test
     void ranksOrderByRouteBeforeWorkspace() {
         RelayConfig config = config(3, 0, 1);
@@ -132,7 +137,9 @@
             for (int workspaceRank = 0; workspaceRank < 2; workspaceRank++) {
                 int combinedRank = config.rank(config.workspace("key" + workspaceRank), routeWithPriority(routeRank));
                 assertEquals(
-                        previous + 1, combinedRank, "kind " + routeRank + " of a workspace of rank " + workspaceRank);
+                        previous + 1,
+                        combinedRank,
+                        "route rank " + routeRank + " of a workspace of rank " + workspaceRank);
                 previous = combinedRank;
             }
         }
@@ -145,8 +152,8 @@
     void stepsNeverPassALessUrgentRank(int routeRanks, int workspaceRanks) {
         for (int routeRank = 0; routeRank < routeRanks; routeRank++) {
             for (int workspaceRank = 0; workspaceRank < workspaceRanks; workspaceRank++) {
-                String description = "kind " + routeRank + " of " + routeRanks + ", workspace " + workspaceRank + " of "
-                        + workspaceRanks;
+                String description = "route rank " + routeRank + " of " + routeRanks + ", workspace rank "
+                        + workspaceRank + " of " + workspaceRanks;
                 int lastLevel = PriorityLevels.level(
                         routeRank, routeRanks, workspaceRank, workspaceRanks, PrefillOrder.STEPS - 1);
                 if (workspaceRank + 1 < workspaceRanks) {
--- a/core/src/test/java/org/tanagerhinge/core/relay/RelayFixture.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/RelayFixture.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Routes and registrations that several tests begin with. */
+/** Creates routes and registrations for several tests. */
 final class RelayFixture {
     private RelayFixture() {}
 
--- a/core/src/test/java/org/tanagerhinge/core/relay/RetryTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/RetryTest.java
@@ -14,7 +14,7 @@
 import org.tanagerhinge.core.attempt.AttemptHistory;
 import org.tanagerhinge.core.attempt.RetryBudget;
 
-/** Which requests are sent again, and how many of them. */
+/** Tests which requests are retried, and how many of them. */
 class RetryTest {
     @ParameterizedTest
     @CsvSource({
@@ -39,7 +39,7 @@
         assertFalse(history.mayRetry(end.mayHaveRun(), 5), "no time left");
     }
 
-    /** Load: every server fails and every request could be repeated; four nodes have one budget. */
+    /** Guards against retries beyond the shared budget when every request fails and four nodes retry independently. */
     @Test
     void retriesOfAllNodesStayWithinTheBudgetInEveryWindow() {
         double ratio = 0.2;
@@ -69,7 +69,7 @@
             long requestCount = requestTimes.stream()
                     .filter(t -> t >= windowStart && t < windowStart + 10_000)
                     .count();
-            assertTrue(retryCount <= ratio * requestCount + slack, retryCount + " repeats of " + requestCount);
+            assertTrue(retryCount <= ratio * requestCount + slack, retryCount + " retries of " + requestCount);
         }
     }
 }
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerAnnouncementsTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerAnnouncementsTest.java
@@ -7,16 +7,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is remembered of servers' words, and for how long. */
+/** Tests what is kept of servers' announcements, and for how long. */
 class ServerAnnouncementsTest {
     private final ServerAnnouncements announcements = ServerAnnouncements.create();
 
     @Test
     void leavingAppliesToTheAnnouncingInstanceOnly() {
         assertTrue(announcements.recordLeaving("e@1", 1_000));
-        assertFalse(announcements.recordLeaving("e@1", 2_000), "known");
+        assertFalse(announcements.recordLeaving("e@1", 2_000), "already known");
         assertTrue(announcements.isLeaving("e@1", 60_000));
-        assertFalse(announcements.isLeaving("e@2", 60_000), "born again, it is another one");
+        assertFalse(announcements.isLeaving("e@2", 60_000), "another instance of the server");
     }
 
     @Test
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerDirectoryTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerDirectoryTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which backend servers are believed in. */
+/** Tests which backend servers are known after a sequence of registration lists. */
 class ServerDirectoryTest {
     @Test
     void serverMissingFromAListIsRemoved() {
@@ -19,9 +19,8 @@
     }
 
     /**
-     * Symptom: no server was left to send to after the store's return. Events: the store is away, registrations lapse
-     * though their servers live, the store returns, the registrations come back within two seconds. Cause: a list with
-     * nothing in it was taken for the truth.
+     * Guards against an empty server list after a store outage: registrations lapse while the servers run, and come
+     * back within two seconds of its end.
      */
     @Test
     void lapsedRegistrationsAreKeptForAWhileAfterAStoreOutage() {
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerHealthTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerHealthTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which servers are left out for their answers. */
+/** Tests when failing servers are ejected and restored. */
 class ServerHealthTest {
     @Test
     void consecutiveFailuresEjectUntilASingleProbeSucceeds() {
--- a/core/src/test/java/org/tanagerhinge/core/relay/ServerRestartTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/ServerRestartTest.java
@@ -14,10 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Symptom: after an engine started again under its id, requests went to it for prompts that it no longer held, it was left
- * out as ejected though it was sound, and its load counted requests that had ended with its first life. Events: an engine
- * crashes in the midst of a burst and registers again under the same id, with another time of birth. Cause: what is believed
- * of a server was kept under its id alone.
+ * Tests a server that restarts under the same id. Guards against state of the previous instance (cached prompts,
+ * ejection, requests in flight) that is kept for the new one.
  */
 class ServerRestartTest {
     private static final ServiceConfig ENGINES = ServiceConfig.of("model", 300, 48, 300_000);
@@ -52,7 +50,7 @@
         assertEquals(0, second.totalPendingPrefillTokens());
         assertTrue(second.health().usable(10));
         assertEquals(2, directory.available("model").size());
-        assertNotEquals(digest, directory.digest(), "peers must see that their list is another one");
+        assertNotEquals(digest, directory.digest(), "the digest must change with the instance");
     }
 
     @Test
@@ -71,7 +69,7 @@
         directory.apply(List.of(registration("e", 200), registration("f", 100)), 800);
         assertTrue(directory.apply(List.of(registration("e", 100)), 700).isEmpty());
         assertNotNull(directory.instance("e@200"));
-        assertNotNull(directory.instance("f@100"), "an older list doesn't end servers either");
+        assertNotNull(directory.instance("f@100"), "an older list doesn't remove servers either");
     }
 
     @Test
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
@@ -362,7 +362,7 @@
     void promptSentByPeer(String instanceId, List<PromptPart> parts) {
         ServerInstance server = directory.instance(instanceId);
         if (server != null && config.isPresent()) {
-            placement.recordPeerPrefill(server, config.get().service(server.service()), parts, nowMillis());
+            placement.recordPeerSent(server, config.get().service(server.service()), parts, nowMillis());
         }
     }
 
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
@@ -233,7 +233,7 @@
             return;
         }
         for (KeptParts parts : told) {
-            placement.recordPeerPrefill(servers.get(parts.server()), service, parts.parts(), now);
+            placement.recordPeerSent(servers.get(parts.server()), service, parts.parts(), now);
         }
         if (off.contains(Mechanism.PEER_LOAD)) {
             return;
