--- a/core/src/test/java/org/tanagerhinge/core/relay/LanePlacementTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/LanePlacementTest.java
@@ -75,16 +75,16 @@
             boolean isLong = i % 3 == 0;
             PlacementRequest request = new PlacementRequest(
                     route(RouteKind.STREAM, true, 2), ENGINES, prompt(isLong ? 9_000 : 800, "p" + i % 9), "north");
-            PlacementPolicy.Decision placed = placement
+            PlacementPolicy.Decision decision = placement
                     .place(request, directory.available("model"), i * 10L)
                     .orElseThrow();
-            placed.server().recordSent(placed.tokensToPrefill());
-            placement.recordSent(request, placed, i * 10L);
-            placed.server().recordPrefill(placed.tokensToPrefill());
-            placed.server().recordEnd();
-            placement.recordEnd(request, placed, i * 10L);
+            decision.server().recordSent(decision.tokensToPrefill());
+            placement.recordSent(request, decision, i * 10L);
+            decision.server().recordPrefill(decision.tokensToPrefill());
+            decision.server().recordEnd();
+            placement.recordEnd(request, decision, i * 10L);
             if (i > 30) {
-                (isLong ? longCounts : shortCounts).merge(placed.server().id(), 1, Integer::sum);
+                (isLong ? longCounts : shortCounts).merge(decision.server().id(), 1, Integer::sum);
             }
         }
         for (String id : shortCounts.keySet()) {
@@ -103,15 +103,15 @@
         directory.apply(List.of(registration("a", false), registration("b", false)), 0);
         PlacementRequest request =
                 new PlacementRequest(route(RouteKind.STREAM, true, 2), ENGINES, prompt(2_600, "p"), "north");
-        PlacementPolicy.Decision placed =
+        PlacementPolicy.Decision decision =
                 placement.place(request, directory.available("model"), 0).orElseThrow();
-        placement.recordSent(request, placed, 0);
+        placement.recordSent(request, decision, 0);
         PlacementRequest large =
                 new PlacementRequest(route(RouteKind.STREAM, true, 2), ENGINES, prompt(18_000, "q"), "north");
         for (int i = 0; i < 20; i++) {
-            placement.recordPrefill(large, placed, 90);
+            placement.recordPrefill(large, decision, 90);
         }
-        placement.recordEnd(request, placed, 10);
+        placement.recordEnd(request, decision, 10);
         assertEquals(0, placement.localDemands(10).get("model").shortInFlight());
     }
 
@@ -129,10 +129,10 @@
             Prompt prompt = Prompt.of(
                     17_000, 80, List.of(new PromptPart("shared" + i, 13_300), new PromptPart("own" + i, 3_700)));
             PlacementRequest request = new PlacementRequest(route(RouteKind.STREAM, true, 2), ENGINES, prompt, "north");
-            PlacementPolicy.Decision placed =
+            PlacementPolicy.Decision decision =
                     placement.place(request, directory.available("model"), 0).orElseThrow();
-            assertTrue(placed.longPrompt(), "prompt " + i);
-            placement.recordPrefill(request, placed, 50);
+            assertTrue(decision.longPrompt(), "prompt " + i);
+            placement.recordPrefill(request, decision, 50);
         }
     }
 
--- a/core/src/test/java/org/tanagerhinge/core/relay/PrefixPlacementTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PrefixPlacementTest.java
@@ -74,10 +74,10 @@
                 engines.get(k).updatePeerLoad(10, (i * 7_919L + k * 104_729L) % 400_000);
             }
             PlacementRequest request = request(LINKED, 1, i);
-            PlacementPolicy.Decision placed =
+            PlacementPolicy.Decision decision =
                     placement.place(request, engines, i * 20L).orElseThrow();
-            chosen.add(placed.server());
-            placement.recordSent(request, placed, i * 20L);
+            chosen.add(decision.server());
+            placement.recordSent(request, decision, i * 20L);
         }
         return chosen.size();
     }
@@ -111,10 +111,10 @@
         placement.recordPeerSent(
                 holder, service, request(service, 1, 1).prompt().sharedParts(), 0);
         holder.updatePeerLoad(10, 500_000);
-        PlacementPolicy.Decision placed =
+        PlacementPolicy.Decision decision =
                 placement.place(request(service, 1, 2), candidates, now).orElseThrow();
-        assertNotEquals(holder, placed.server());
-        return placed.fetch();
+        assertNotEquals(holder, decision.server());
+        return decision.fetch();
     }
 
     @Test
@@ -187,10 +187,10 @@
         ServerInstance holder = engines.get(2);
         placement.recordPeerSent(holder, LINKED, request(LINKED, 1, 1).prompt().sharedParts(), 0);
         placement.forgetInstance(holder.instanceId());
-        PlacementPolicy.Decision placed = placement
+        PlacementPolicy.Decision decision = placement
                 .place(request(LINKED, 1, 2), engines, PREFILLED_MILLIS)
                 .orElseThrow();
-        assertEquals(Optional.empty(), placed.fetch());
+        assertEquals(Optional.empty(), decision.fetch());
     }
 
     @Test
--- a/core/src/test/java/org/tanagerhinge/core/relay/PriorityOrderTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/PriorityOrderTest.java
@@ -43,21 +43,21 @@
     @Test
     void promptsWithLittlePrefillForTheirSizeGoFirst() {
         PrefillOrder order = PrefillOrder.create();
-        Route plan = route(RouteKind.STREAM, true, 2);
-        Prompt usual = Prompt.of(9_000, 50, List.of());
+        Route route = route(RouteKind.STREAM, true, 2);
+        Prompt meanPrompt = Prompt.of(9_000, 50, List.of());
         assertEquals(
                 PrefillOrder.STEPS - 1,
-                order.step(plan, usual, 9_000, 45),
+                order.step(route, meanPrompt, 9_000, 45),
                 "nothing cached, takes two thirds of the target");
-        assertEquals(0, order.step(plan, usual, 300, 45), "mostly cached");
-        int half = order.step(plan, usual, 2_000, 45);
-        assertTrue(half > 0 && half < PrefillOrder.STEPS - 1);
-        Prompt small = Prompt.of(2_000, 50, List.of());
-        assertTrue(order.step(plan, small, 2_000, 45) > half, "same prefill, smaller request");
-        for (int held = 0, before = PrefillOrder.STEPS; held < 9_000; held += 500) {
-            int step = order.step(plan, usual, 9_000 - held, 45);
-            assertTrue(step <= before, "less prefill never goes later");
-            before = step;
+        assertEquals(0, order.step(route, meanPrompt, 300, 45), "mostly cached");
+        int middleStep = order.step(route, meanPrompt, 2_000, 45);
+        assertTrue(middleStep > 0 && middleStep < PrefillOrder.STEPS - 1);
+        Prompt smallPrompt = Prompt.of(2_000, 50, List.of());
+        assertTrue(order.step(route, smallPrompt, 2_000, 45) > middleStep, "same prefill, smaller request");
+        for (int cachedTokens = 0, previousStep = PrefillOrder.STEPS; cachedTokens < 9_000; cachedTokens += 500) {
+            int step = order.step(route, meanPrompt, 9_000 - cachedTokens, 45);
+            assertTrue(step <= previousStep, "less prefill never goes later");
+            previousStep = step;
         }
     }
 
