--- a/cli/src/main/java/org/tanagerhinge/cli/ProfileCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ProfileCommands.java
@@ -13,7 +13,7 @@
 import org.tanagerhinge.core.config.Profile;
 import org.tanagerhinge.core.config.ProfilesDocument;
 import org.tanagerhinge.core.result.TanagerhingeException;
-import org.tanagerhinge.core.text.NearestName;
+import org.tanagerhinge.core.text.NameSuggestion;
 import org.tanagerhinge.node.platform.ConfigStore;
 
 /** The commands that read and edit profiles. */
@@ -144,7 +144,8 @@
                 .filter(profile -> profile.name().value().equals(name))
                 .findFirst()
                 .orElseThrow(() -> new CommandFailedException(
-                        ExitCode.INVALID, "profile '" + name + "' does not exist" + NearestName.hint(name, names)));
+                        ExitCode.INVALID,
+                        "profile '" + name + "' does not exist" + NameSuggestion.didYouMean(name, names)));
     }
 
     private static ProfilesDocument withFields(ProfilesDocument document, Profile profile, List<String> changes)
--- a/cli/src/main/java/org/tanagerhinge/cli/ServerCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ServerCommands.java
@@ -18,7 +18,7 @@
 import org.tanagerhinge.core.id.ServerId;
 import org.tanagerhinge.core.id.TargetName;
 import org.tanagerhinge.core.result.TanagerhingeException;
-import org.tanagerhinge.core.text.NearestName;
+import org.tanagerhinge.core.text.NameSuggestion;
 import org.tanagerhinge.node.platform.ConfigStore;
 
 /** The commands that list and mark backend servers. */
@@ -147,7 +147,7 @@
             throw new CommandFailedException(
                     ExitCode.INVALID,
                     "backend server '" + id + "' is not listed"
-                            + NearestName.hint(
+                            + NameSuggestion.didYouMean(
                                     id,
                                     current.servers().stream()
                                             .map(each -> each.id().value())
--- a/core/src/main/java/org/tanagerhinge/core/chart/StateChartReader.java
+++ b/core/src/main/java/org/tanagerhinge/core/chart/StateChartReader.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.tanagerhinge.core.text.NearestName;
+import org.tanagerhinge.core.text.NameSuggestion;
 
 /** Reads a chart from JSON and refuses unknown names, unreachable states, dead ends and events that lead nowhere. */
 final class StateChartReader {
@@ -64,7 +64,8 @@
         List<String> known =
                 Arrays.stream(type.getEnumConstants()).map(Enum::name).toList();
         throw new StateChartException(
-                chart, "'" + constantName + "' is not one of " + known + NearestName.hint(constantName, known));
+                chart,
+                "'" + constantName + "' is not one of " + known + NameSuggestion.didYouMean(constantName, known));
     }
 
     private static <S extends Enum<S>, E extends Enum<E>> void checkReachable(
--- a/core/src/main/java/org/tanagerhinge/core/claim/ClaimDecision.java
+++ b/core/src/main/java/org/tanagerhinge/core/claim/ClaimDecision.java
@@ -8,10 +8,10 @@
     record Granted(ClaimEntry entry) implements ClaimDecision {}
 
     /** Another request holds the key; the entry says where it runs. */
-    record Held(ClaimEntry entry) implements ClaimDecision {}
+    record HeldByOther(ClaimEntry entry) implements ClaimDecision {}
 
     /** The store did not answer; the claim may or may not have been written. */
-    record Unsettled(String why) implements ClaimDecision {}
+    record Unsettled(String reason) implements ClaimDecision {}
 
     /**
      * Decides on a claim from what the store holds.
@@ -21,17 +21,17 @@
      * @param expectedGeneration the generation that it may replace, since nothing runs under it; 0 for none
      * @return the decision, or null if the wanted entry may be written in the place of the current one
      */
-    static ClaimDecision onCurrent(ClaimEntry current, ClaimEntry wanted, long expectedGeneration) {
+    static ClaimDecision decide(ClaimEntry current, ClaimEntry requested, long expectedGeneration) {
         if (current == null || current.free()) {
             return null;
         }
         if (expectedGeneration > 0 && current.generation() == expectedGeneration) {
             return null;
         }
-        if (current.owner().equals(wanted.owner()) && current.sameExecutor(wanted)) {
+        if (current.owner().equals(requested.owner()) && current.sameExecutor(requested)) {
             // The write of an earlier call took effect though its answer was lost.
             return new Granted(current);
         }
-        return new Held(current);
+        return new HeldByOther(current);
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/claim/Rendezvous.java
+++ b/core/src/main/java/org/tanagerhinge/core/claim/RendezvousHash.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Rendezvous (highest random weight) hashing: adding or taking away a choice moves only what falls to it. */
-public final class Rendezvous {
-    private static final long MIX_1 = 0xbf58476d1ce4e5b9L;
-    private static final long MIX_2 = 0x94d049bb133111ebL;
+/** RendezvousHash (highest random weight) hashing: adding or taking away a choice moves only what falls to it. */
+public final class RendezvousHash {
+    private static final long MIX_MULTIPLIER_1 = 0xbf58476d1ce4e5b9L;
+    private static final long MIX_MULTIPLIER_2 = 0x94d049bb133111ebL;
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    private Rendezvous() {}
+    private RendezvousHash() {}
 
     /** Returns the choice with the greatest weight for a key. */
     public static <T> Optional<T> first(String key, Collection<T> choices) {
@@ -20,8 +20,8 @@
     }
 
     /** Returns the choices with the greatest weights for a key, the greatest first, at most so many. */
-    public static <T> List<T> top(String key, Collection<T> choices, int most) {
-        return choices.stream().sorted(byWeight(key).reversed()).limit(most).toList();
+    public static <T> List<T> top(String key, Collection<T> choices, int maxCount) {
+        return choices.stream().sorted(byWeight(key).reversed()).limit(maxCount).toList();
     }
 
     private static <T> Comparator<T> byWeight(String key) {
@@ -31,21 +31,21 @@
 
     /** Returns a well-mixed hash of two texts, the same on every node and in every run. */
     public static long weight(String key, String choice) {
-        long hash = fold(fold(FNV_OFFSET, key), "\n");
-        return mix(fold(hash, choice));
+        long hash = fnv1a(fnv1a(FNV_OFFSET, key), "\n");
+        return mix(fnv1a(hash, choice));
     }
 
-    private static long fold(long hash, String text) {
-        long result = hash;
+    private static long fnv1a(long hash, String text) {
+        long folded = hash;
         for (int i = 0; i < text.length(); i++) {
-            result = (result ^ text.charAt(i)) * FNV_PRIME;
+            folded = (folded ^ text.charAt(i)) * FNV_PRIME;
         }
-        return result;
+        return folded;
     }
 
     private static long mix(long value) {
-        long mixed = (value ^ (value >>> 30)) * MIX_1;
-        mixed = (mixed ^ (mixed >>> 27)) * MIX_2;
+        long mixed = (value ^ (value >>> 30)) * MIX_MULTIPLIER_1;
+        mixed = (mixed ^ (mixed >>> 27)) * MIX_MULTIPLIER_2;
         return mixed ^ (mixed >>> 31);
     }
 }
--- a/core/src/main/java/org/tanagerhinge/core/config/JsonFields.java
+++ b/core/src/main/java/org/tanagerhinge/core/config/JsonFields.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Function;
-import org.tanagerhinge.core.text.NearestName;
+import org.tanagerhinge.core.text.NameSuggestion;
 
 /** Reads the fields of one JSON object and collects all problems, so that they are reported together. */
 final class JsonFields {
@@ -102,7 +102,7 @@
                 .toList();
         int index = known.indexOf(text);
         if (index < 0) {
-            addProblem(field, "'" + text + "': expected one of " + known + NearestName.hint(text, known));
+            addProblem(field, "'" + text + "': expected one of " + known + NameSuggestion.didYouMean(text, known));
             return defaultValue;
         }
         return type.getEnumConstants()[index];
@@ -112,7 +112,7 @@
     void rejectUnknownFields() {
         node.fieldNames().forEachRemaining(field -> {
             if (!knownFields.contains(field)) {
-                addProblem(field, "unknown field" + NearestName.hint(field, knownFields));
+                addProblem(field, "unknown field" + NameSuggestion.didYouMean(field, knownFields));
             }
         });
     }
--- a/core/src/main/java/org/tanagerhinge/core/id/FailureDomain.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/FailureDomain.java
@@ -3,7 +3,7 @@
 /** Names a failure domain: hosts that are expected to fail together. */
 public record FailureDomain(String value) {
     public FailureDomain {
-        Names.checked("failure domain", value);
+        IdSyntax.requireValid("failure domain", value);
     }
 
     /** Returns the failure domain with the given text, for example {@code FailureDomain.of("kita")}. */
--- a/core/src/main/java/org/tanagerhinge/core/id/KeyDigest.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/KeyDigest.java
@@ -11,19 +11,19 @@
  * <p>The text is the first 128 bits, in hex, of the SHA-256 over workspace, target and key.
  */
 public record KeyDigest(String hex) {
-    private static final int HEX_LENGTH = 32;
+    private static final int HEX_DIGITS = 32;
 
     /** Returns the digest of a key; equal keys of different workspaces or targets have different digests. */
     public static KeyDigest of(WorkspaceId workspace, TargetName target, String key) {
         String text = workspace + "\n" + target + "\n" + key;
-        return new KeyDigest(sha256Hex(text).substring(0, HEX_LENGTH));
+        return new KeyDigest(sha256Hex(text).substring(0, HEX_DIGITS));
     }
 
     /** Returns the lower-case hex SHA-256 of a text in UTF-8. */
     public static String sha256Hex(String text) {
         try {
-            MessageDigest sha = MessageDigest.getInstance("SHA-256");
-            return HexFormat.of().formatHex(sha.digest(text.getBytes(StandardCharsets.UTF_8)));
+            MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
+            return HexFormat.of().formatHex(sha256.digest(text.getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every JDK has SHA-256", e);
         }
--- a/core/src/main/java/org/tanagerhinge/core/id/ProfileName.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/ProfileName.java
@@ -3,7 +3,7 @@
 /** Names a profile: the class of service that a caller picks for a request. */
 public record ProfileName(String value) implements Comparable<ProfileName> {
     public ProfileName {
-        Names.checked("profile", value);
+        IdSyntax.requireValid("profile", value);
     }
 
     /** Returns the name with the given text, for example {@code ProfileName.of("card")}. */
--- a/core/src/main/java/org/tanagerhinge/core/id/RouterId.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/RouterId.java
@@ -3,7 +3,7 @@
 /** Names one run of a router process: its configured name and the incarnation that tells restarts apart. */
 public record RouterId(String name, long incarnation) {
     public RouterId {
-        Names.checked("router", name);
+        IdSyntax.requireValid("router", name);
     }
 
     /** Returns the id of one run of the named router. */
--- a/core/src/main/java/org/tanagerhinge/core/id/ServerId.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/ServerId.java
@@ -3,7 +3,7 @@
 /** Names a backend server and the agent in the slot beside it. */
 public record ServerId(String value) implements Comparable<ServerId> {
     public ServerId {
-        Names.checked("backend server", value);
+        IdSyntax.requireValid("backend server", value);
     }
 
     /** Returns the id with the given text, for example {@code ServerId.of("kita-engine-1")}. */
--- a/core/src/main/java/org/tanagerhinge/core/id/TargetName.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/TargetName.java
@@ -3,7 +3,7 @@
 /** Names what a request is for: a model, or a plain service. */
 public record TargetName(String value) implements Comparable<TargetName> {
     public TargetName {
-        Names.checked("model or service", value);
+        IdSyntax.requireValid("model or service", value);
     }
 
     /** Returns the name with the given text, for example {@code TargetName.of("tanager-8b")}. */
--- a/core/src/main/java/org/tanagerhinge/core/id/WorkspaceId.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/WorkspaceId.java
@@ -3,7 +3,7 @@
 /** Names a workspace: a customer of the shop, found from the bearer key of a call. */
 public record WorkspaceId(String value) implements Comparable<WorkspaceId> {
     public WorkspaceId {
-        Names.checked("workspace", value);
+        IdSyntax.requireValid("workspace", value);
     }
 
     /** Returns the id with the given text, for example {@code WorkspaceId.of("salon-umea")}. */
--- a/core/src/main/java/org/tanagerhinge/core/router/IdempotencyClaims.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/IdempotencyClaims.java
@@ -73,7 +73,7 @@
         Exchange exchange = found.get();
         switch (decision) {
             case ClaimDecision.Granted granted -> onGranted(exchange, granted.entry());
-            case ClaimDecision.Held held -> followHolder(exchange, held.entry());
+            case ClaimDecision.HeldByOther held -> followHolder(exchange, held.entry());
             case ClaimDecision.Unsettled unsettled -> port.countDecision("claim_unsettled");
         }
     }
--- a/core/src/main/java/org/tanagerhinge/core/router/LoadBalancer.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/LoadBalancer.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
-import org.tanagerhinge.core.claim.Rendezvous;
+import org.tanagerhinge.core.claim.RendezvousHash;
 import org.tanagerhinge.core.config.ServerKind;
 import org.tanagerhinge.core.id.FailureDomain;
 import org.tanagerhinge.core.message.AgentLoad;
@@ -82,7 +82,7 @@
         }
         List<String> names =
                 pool.stream().map(view -> view.server().id().value()).toList();
-        List<String> preferred = Rendezvous.top(exchange.request().affinity(), names, PREFERRED_SERVERS_PER_PREFIX);
+        List<String> preferred = RendezvousHash.top(exchange.request().affinity(), names, PREFERRED_SERVERS_PER_PREFIX);
         return pool.stream()
                 .filter(view -> preferred.contains(view.server().id().value()))
                 .toList();
--- a/core/src/main/java/org/tanagerhinge/core/router/RequestResolver.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RequestResolver.java
@@ -12,7 +12,7 @@
 import org.tanagerhinge.core.id.TargetName;
 import org.tanagerhinge.core.result.RequestFailure;
 import org.tanagerhinge.core.result.ResultCode;
-import org.tanagerhinge.core.text.NearestName;
+import org.tanagerhinge.core.text.NameSuggestion;
 
 /** Resolves the names in a request: the workspace by its bearer key, the profile, and the model or service. */
 final class RequestResolver {
@@ -91,13 +91,13 @@
         if (profileName.isEmpty()) {
             return "no profile given: expected X-Tanagerhinge-Profile to be one of " + known;
         }
-        return "profile '" + profileName + "' does not exist" + NearestName.hint(profileName, known);
+        return "profile '" + profileName + "' does not exist" + NameSuggestion.didYouMean(profileName, known);
     }
 
     private String unknownTargetDetail(IncomingRequest request) {
         String kind = request.kind().label();
         return kind + " '" + request.target() + "' does not exist"
-                + NearestName.hint(request.target(), knownTargets(request.kind()));
+                + NameSuggestion.didYouMean(request.target(), knownTargets(request.kind()));
     }
 
     private static Resolution rejected(ResultCode code, String detail) {
--- a/core/src/main/java/org/tanagerhinge/core/router/ServerTable.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ServerTable.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import org.tanagerhinge.core.claim.Rendezvous;
+import org.tanagerhinge.core.claim.RendezvousHash;
 import org.tanagerhinge.core.config.BackendServer;
 import org.tanagerhinge.core.config.DesiredServerState;
 import org.tanagerhinge.core.config.ServerKind;
@@ -92,7 +92,7 @@
             }
         }
         Set<ServerId> subset = new HashSet<>();
-        byTarget.values().forEach(ids -> subset.addAll(Rendezvous.top(routerName, ids, maxLinksPerTarget)));
+        byTarget.values().forEach(ids -> subset.addAll(RendezvousHash.top(routerName, ids, maxLinksPerTarget)));
         return subset;
     }
 }
--- /dev/null
+++ b/core/src/main/java/org/tanagerhinge/core/text/NameSuggestion.java
@@ -0,0 +1,50 @@
+package org.tanagerhinge.core.text;
+
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.Locale;
+import java.util.Optional;
+
+/** Finds the known name that a mistyped one was most likely meant to be. */
+public final class NameSuggestion {
+    private static final int MAX_EDIT_DISTANCE = 3;
+
+    private NameSuggestion() {}
+
+    /** Returns the closest known name by edit distance, if one is near enough to be worth suggesting. */
+    public static Optional<String> nearest(String typed, Collection<String> known) {
+        String typedLowerCase = typed.toLowerCase(Locale.ROOT);
+        return known.stream()
+                .filter(name ->
+                        editDistance(typedLowerCase, name.toLowerCase(Locale.ROOT)) <= maxDistance(typedLowerCase))
+                .min(Comparator.comparingInt(name -> editDistance(typedLowerCase, name.toLowerCase(Locale.ROOT))));
+    }
+
+    /** Returns {@code ", did you mean 'x'?"} for the nearest known name, or an empty text. */
+    public static String didYouMean(String typed, Collection<String> known) {
+        return nearest(typed, known)
+                .map(name -> ", did you mean '" + name + "'?")
+                .orElse("");
+    }
+
+    private static int maxDistance(String typed) {
+        return Math.min(MAX_EDIT_DISTANCE, Math.max(1, typed.length() / 2));
+    }
+
+    private static int editDistance(String left, String right) {
+        int[] previousRow = new int[right.length() + 1];
+        for (int j = 0; j <= right.length(); j++) {
+            previousRow[j] = j;
+        }
+        for (int i = 1; i <= left.length(); i++) {
+            int[] currentRow = new int[right.length() + 1];
+            currentRow[0] = i;
+            for (int j = 1; j <= right.length(); j++) {
+                int substitutionCost = previousRow[j - 1] + (left.charAt(i - 1) == right.charAt(j - 1) ? 0 : 1);
+                currentRow[j] = Math.min(substitutionCost, 1 + Math.min(previousRow[j], currentRow[j - 1]));
+            }
+            previousRow = currentRow;
+        }
+        return previousRow[right.length()];
+    }
+}
--- a/core/src/main/java/org/tanagerhinge/core/time/SteadyClock.java
+++ b/core/src/main/java/org/tanagerhinge/core/time/SteadyClock.java
@@ -10,8 +10,8 @@
  * of the host's time would show as deadlines that never pass and leases that never lapse.
  */
 public final class SteadyClock implements InstantSource {
-    private final Instant origin = Instant.now();
-    private final long originNanos = System.nanoTime();
+    private final Instant startWallTime = Instant.now();
+    private final long startNanos = System.nanoTime();
 
     private SteadyClock() {}
 
@@ -22,6 +22,6 @@
 
     @Override
     public Instant instant() {
-        return origin.plusNanos(System.nanoTime() - originNanos);
+        return startWallTime.plusNanos(System.nanoTime() - startNanos);
     }
 }
--- a/node/src/main/java/org/tanagerhinge/node/platform/ClaimStore.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/ClaimStore.java
@@ -61,7 +61,7 @@
                     expectedGeneration == 0 ? Optional.empty() : store.read(key(wanted.digest()));
             for (int i = 0; i < MOST_SWAPS; i++) {
                 ClaimEntry held = current.isEmpty() ? null : parse(current.get().value());
-                ClaimDecision decision = ClaimDecision.onCurrent(held, wanted, expectedGeneration);
+                ClaimDecision decision = ClaimDecision.decide(held, wanted, expectedGeneration);
                 if (decision != null) {
                     return decision;
                 }
--- a/node/src/main/java/org/tanagerhinge/node/settings/Settings.java
+++ b/node/src/main/java/org/tanagerhinge/node/settings/Settings.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.tanagerhinge.core.text.NearestName;
+import org.tanagerhinge.core.text.NameSuggestion;
 
 /**
  * The checked settings of one program.
@@ -48,7 +48,7 @@
         List<String> paths = known.stream().map(Setting::path).toList();
         for (String path : given.keySet()) {
             if (!paths.contains(path)) {
-                problems.add(where(path, lines) + "no such setting" + NearestName.hint(path, paths));
+                problems.add(where(path, lines) + "no such setting" + NameSuggestion.didYouMean(path, paths));
             }
         }
         Map<Setting<?>, Object> values = new IdentityHashMap<>();
