--- a/core/src/main/java/org/tanagerhinge/core/attempt/RequestQuarantine.java
+++ b/core/src/main/java/org/tanagerhinge/core/attempt/RequestQuarantine.java
@@ -22,7 +22,7 @@
  * #REMEMBER_MILLIS}, a quarantine after {@link #HOLD_MILLIS}, after which one more end brings it back.
  */
 public final class RequestQuarantine {
-    /** ServerSnapshot that must have ended under a request: two may end beside a request that has nothing to do with it. */
+    /** Servers that must have ended under a request: two may end beside a request that has nothing to do with it. */
     static final int CRASHES_TO_QUARANTINE = 3;
     /** How long a request is sent no more: as long as the platform's store keeps a lease at the most, in milliseconds. */
     public static final long QUARANTINE_MILLIS = 600_000;
--- a/core/src/main/java/org/tanagerhinge/core/duty/package-info.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/package-info.java
@@ -1,5 +1,5 @@
 /**
- * DutyParticipant: tasks that exactly one elected node performs for the whole cluster. Contains the lease-based
+ * Duties: tasks that exactly one elected node performs for the whole cluster. Contains the lease-based
  * election of the holder and the usage reporting duty. Performs no I/O itself; calls go through
  * {@link org.tanagerhinge.core.duty.DutyClient}.
  */
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RequestThatEndsServersTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RequestThatEndsServersTest.java
@@ -30,7 +30,7 @@
  */
 class RequestThatEndsServersTest {
     private static final String POISON = "{\"ask\": \"the one that ends servers\"}";
-    /** ServerSnapshot that may end under one request, and times that it may reach one after that: what is promised. */
+    /** Servers that may end under one request, and times that it may reach one after that: what is promised. */
     private static final int MOST_ENDS = 3 + 3;
 
     private static final int SERVERS = 12;
@@ -154,7 +154,7 @@
         assertEquals(known, ends());
     }
 
-    /** ServerSnapshot that fail part of their requests, without running them, answer this one with an error now and then. */
+    /** Servers that fail part of their requests, without running them, answer this one with an error now and then. */
     @Test
     void anErrorOfAServerClearsNobody() throws Exception {
         AtomicInteger calls = new AtomicInteger();
--- a/node/src/main/java/org/tanagerhinge/node/log/LogField.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/LogField.java
@@ -29,7 +29,7 @@
     LEFT_MS,
     /** Number of the attempt, from 1; at the end how many there were. */
     ATTEMPT,
-    /** ServerSnapshot that the attempt could have gone to. */
+    /** Servers that the attempt could have gone to. */
     CANDIDATES,
     /** Requests of all nodes at the server, as far as they were known. */
     RUNNING,
--- a/router/src/main/java/org/tanagerhinge/router/CallerSession.java
+++ b/router/src/main/java/org/tanagerhinge/router/CallerSession.java
@@ -24,7 +24,7 @@
 final class CallerSession extends IteratingCallback {
     private static final String REQUEST_HEADER = "X-Tanagerhinge-Request";
 
-    /** PeerMessage of what becomes of the writing. */
+    /** Told of what becomes of the writing. */
     interface Progress {
         void took(RequestId request, long units);
 
--- a/standin/src/main/java/org/tanagerhinge/standin/load/Ending.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/load/Ending.java
@@ -6,11 +6,11 @@
     UNREACHED,
     /** A whole answer to this very request. */
     WHOLE,
-    /** PeerMessage that it did not run. */
+    /** Told that it did not run. */
     NOT_RUN,
-    /** PeerMessage that its outcome is unknown. */
+    /** Told that its outcome is unknown. */
     UNKNOWN,
-    /** PeerMessage in the midst of an answer that it broke off. */
+    /** Told in the midst of an answer that it broke off. */
     CUT,
     /** No word at all, or an answer passed off as whole that is not. */
     LOST,
