--- a/gateway/src/main/java/org/tanagerhinge/gateway/DutyTelemetry.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/DutyTelemetry.java
@@ -24,42 +24,42 @@
     }
 
     @Override
-    public void dutyAcquired(long token) {
+    public void dutyAcquired(long fencingToken) {
         gateway.count("duty_held");
-        LogLine.of(LogEvent.DUTY_HELD).with(LogField.TOKEN, token).write();
+        LogLine.of(LogEvent.DUTY_HELD).with(LogField.TOKEN, fencingToken).write();
     }
 
     @Override
-    public void dutyLost(long token, String reason) {
+    public void dutyLost(long fencingToken, String reason) {
         gateway.count("duty_lost");
         LogLine.failure(LogEvent.DUTY_LOST)
-                .with(LogField.TOKEN, token)
+                .with(LogField.TOKEN, fencingToken)
                 .with(LogField.WHY, reason)
                 .write();
     }
 
     @Override
-    public void usageCommitted(long token, UsageCounts counts, int heard, int known) {
-        coverage = (double) heard / known;
-        gateway.count(heard < known ? "usage_fixed_without_all" : "usage_fixed");
-        LogLine.of(LogEvent.USAGE_FIXED, heard < known)
+    public void usageCommitted(long fencingToken, UsageCounts counts, int completeNodes, int knownNodes) {
+        coverage = (double) completeNodes / knownNodes;
+        gateway.count(completeNodes < knownNodes ? "usage_fixed_without_all" : "usage_fixed");
+        LogLine.of(LogEvent.USAGE_FIXED, completeNodes < knownNodes)
                 .with(LogField.WINDOW, counts.window())
                 .with(LogField.COUNT, counts.total())
-                .with(LogField.TOKEN, token)
-                .with(LogField.HEARD, heard)
-                .with(LogField.KNOWN, known)
+                .with(LogField.TOKEN, fencingToken)
+                .with(LogField.HEARD, completeNodes)
+                .with(LogField.KNOWN, knownNodes)
                 .write();
     }
 
     @Override
-    public void usageReported(long token, UsageCounts counts, String outcome, long leaseLeftMillis) {
+    public void usageReported(long fencingToken, UsageCounts counts, String outcome, long remainingLeaseMillis) {
         boolean accepted = outcome.equals(DutyClient.ReportResult.ACCEPTED.name());
         gateway.count(accepted ? "usage_reported" : "usage_report_failed");
         LogLine.of(LogEvent.USAGE_REPORTED, !accepted)
                 .with(LogField.WINDOW, counts.window())
                 .with(LogField.COUNT, counts.total())
-                .with(LogField.TOKEN, token)
-                .with(LogField.LEASE_LEFT_MS, leaseLeftMillis)
+                .with(LogField.TOKEN, fencingToken)
+                .with(LogField.LEASE_LEFT_MS, remainingLeaseMillis)
                 .with(LogField.END, outcome)
                 .write();
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
@@ -371,10 +371,10 @@
         sentListener = listener;
     }
 
-    void requestSent(PlacementRequest request, PlacementPolicy.Decision placed) {
-        placed.server().recordSent(placed.tokensToPrefill());
-        placement.recordSent(request, placed, nowMillis());
-        sentListener.accept(placed.server(), request.prompt());
+    void requestSent(PlacementRequest request, PlacementPolicy.Decision decision) {
+        decision.server().recordSent(decision.tokensToPrefill());
+        placement.recordSent(request, decision, nowMillis());
+        sentListener.accept(decision.server(), request.prompt());
     }
 
     /**
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Refusal.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Refusal.java
@@ -20,7 +20,7 @@
     }
 
     /** Returns the refusal of a request that was not and will not be executed. */
-    static Refusal notRun(ResultCode code, long retryAfterMillis) {
+    static Refusal notExecuted(ResultCode code, long retryAfterMillis) {
         return new Refusal(503, code, retryAfterMillis);
     }
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
@@ -31,7 +31,7 @@
     /** Responses up to this size are buffered until complete, so that a broken one can be retried. */
     private static final int MAX_BUFFERED_BYTES = 256 * 1024;
     /** Multiple of its latency target after which a safe request without a response is tried elsewhere. */
-    private static final int SILENCE_TIMEOUT_FACTOR = 3;
+    private static final int RESPONSE_TIMEOUT_FACTOR = 3;
     /**
      * Maximum idle time of a connection for non-idempotent requests, which cannot be retried if the server closes it.
      */
@@ -43,7 +43,7 @@
     private final ResponseProgress progress;
     private final PlacementRequest request;
     private final Route route;
-    private final PlacementPolicy.Decision placed;
+    private final PlacementPolicy.Decision decision;
     private final ServerInstance server;
     private final long startedAtMillis;
     private BackendConnection connection;
@@ -52,21 +52,21 @@
     private boolean finished;
     private boolean retryBudgetTaken;
     private boolean streaming;
-    private Future<?> silenceTimer;
+    private Future<?> responseTimer;
     private RankGate.PendingRequest firstOutputWait;
     private HttpResponse response;
     private CompositeByteBuf buffered;
     private EventSplitter events;
 
-    RelayAttempt(Gateway gateway, RelayExchange exchange, PlacementRequest request, PlacementPolicy.Decision placed) {
+    RelayAttempt(Gateway gateway, RelayExchange exchange, PlacementRequest request, PlacementPolicy.Decision decision) {
         this.gateway = gateway;
         this.exchange = exchange;
         this.caller = exchange.caller();
         this.progress = exchange.progress();
         this.request = request;
         this.route = request.route();
-        this.placed = placed;
-        this.server = placed.server();
+        this.decision = decision;
+        this.server = decision.server();
         this.startedAtMillis = gateway.nowMillis();
     }
 
@@ -86,7 +86,7 @@
 
     /** Takes a pooled connection or opens one, and sends the request. */
     void start() {
-        gateway.requestSent(request, placed);
+        gateway.requestSent(request, decision);
         firstOutputWait = RankGate.PendingRequest.of(
                 server.instanceId(), exchange.rank(), startedAtMillis + route.targetMillis());
         gateway.rankGate().recordSent(firstOutputWait);
@@ -96,26 +96,26 @@
             transmit(pooled);
             return;
         }
-        gateway.pool().connect(server, fresh -> {
+        gateway.pool().connect(server, opened -> {
             if (finished) {
-                if (fresh != null) {
-                    gateway.pool().release(fresh);
+                if (opened != null) {
+                    gateway.pool().release(opened);
                 }
-            } else if (fresh == null) {
+            } else if (opened == null) {
                 fail(AttemptFailure.NOT_SENT, "could not connect");
             } else {
-                transmit(fresh);
+                transmit(opened);
             }
         });
     }
 
-    private void transmit(BackendConnection ready) {
-        connection = ready;
+    private void transmit(BackendConnection usableConnection) {
+        connection = usableConnection;
         sent = true;
         connection.setReading(caller.writable());
-        connection.send(exchange.backendRequest(placed), exchange.attemptId(), this);
+        connection.send(exchange.backendRequest(decision), exchange.attemptId(), this);
         if (route.kind() == RouteKind.SAFE && route.targetMillis() > 0) {
-            silenceTimer = gateway.schedule(this::responseTimedOut, SILENCE_TIMEOUT_FACTOR * route.targetMillis());
+            responseTimer = gateway.schedule(this::responseTimedOut, RESPONSE_TIMEOUT_FACTOR * route.targetMillis());
         }
     }
 
@@ -250,7 +250,7 @@
             fail(progress.headForwarded() ? AttemptFailure.CUT : AttemptFailure.BROKEN, "stream ended inside an event");
             return;
         }
-        release();
+        stopTracking();
         if (events == null && buffered != null) {
             writeBuffered();
             return;
@@ -290,14 +290,14 @@
         if (finished) {
             return;
         }
-        release();
+        stopTracking();
         releaseBuffered();
         exchange.attemptFailed(this, end, reason, retryBudgetTaken);
     }
 
     /** Cancels the attempt because its response is no longer needed. */
     void cancel() {
-        release();
+        stopTracking();
         releaseBuffered();
         if (connection == null) {
             return;
@@ -320,29 +320,29 @@
         }
         if (prefillPending) {
             prefillPending = false;
-            server.recordPrefill(placed.tokensToPrefill());
-            gateway.placement().recordPrefill(request, placed, gateway.nowMillis() - startedAtMillis);
+            server.recordPrefill(decision.tokensToPrefill());
+            gateway.placement().recordPrefill(request, decision, gateway.nowMillis() - startedAtMillis);
         }
     }
 
-    private void release() {
+    private void stopTracking() {
         if (finished) {
             return;
         }
         finished = true;
         gateway.rankGate().recordSettled(firstOutputWait);
-        if (silenceTimer != null) {
-            silenceTimer.cancel(false);
+        if (responseTimer != null) {
+            responseTimer.cancel(false);
         }
         if (streaming) {
             server.recordStreamEnd();
         }
         if (prefillPending) {
             prefillPending = false;
-            server.recordPrefill(placed.tokensToPrefill());
+            server.recordPrefill(decision.tokensToPrefill());
         }
         server.recordEnd();
-        gateway.placement().recordEnd(request, placed, gateway.nowMillis());
+        gateway.placement().recordEnd(request, decision, gateway.nowMillis());
         if (events != null) {
             events.release();
         }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
@@ -94,7 +94,7 @@
 
     private void initializationTimedOut() {
         if (!finished && route == null) {
-            refuse(Refusal.notRun(ResultCode.NOT_READY, gateway.retryAfterMillis()));
+            refuse(Refusal.notExecuted(ResultCode.NOT_READY, gateway.retryAfterMillis()));
         }
     }
 
@@ -128,49 +128,49 @@
             telemetry.quarantined(fingerprint());
             endWithoutResponse(
                     "request is quarantined: servers crashed while running it",
-                    Refusal.notRun(ResultCode.REQUEST_HELD, quarantinedMillis.getAsLong()));
+                    Refusal.notExecuted(ResultCode.REQUEST_HELD, quarantinedMillis.getAsLong()));
             return;
         }
         List<ServerInstance> candidates = gateway.candidates(service, triedServers, nowMillis);
         PlacementRequest request =
                 new PlacementRequest(route, config.service(service), metadata.prompt(), gateway.domain());
-        Optional<PlacementPolicy.Decision> placed = gateway.placement().place(request, candidates, nowMillis);
-        if (placed.isEmpty()) {
+        Optional<PlacementPolicy.Decision> decision = gateway.placement().place(request, candidates, nowMillis);
+        if (decision.isEmpty()) {
             failWithoutServer();
             return;
         }
-        ServerInstance chosen = placed.get().server();
+        ServerInstance chosen = decision.get().server();
         if (gateway.enabled(Mechanism.RANK_GATE)
                 && history.sendCount() == 0
                 && gateway.rankGate().mustYield(rank(), chosen.instanceId(), nowMillis)) {
             telemetry.yieldedToUrgent(chosen, rank());
-            refuse(Refusal.notRun(ResultCode.QUEUE_FULL, gateway.retryAfterMillis()));
+            refuse(Refusal.notExecuted(ResultCode.QUEUE_FULL, gateway.retryAfterMillis()));
             return;
         }
-        if (rejectedByAdmission(placed.get())) {
+        if (rejectedByAdmission(decision.get())) {
             return;
         }
         triedServers.add(chosen.id());
         history.recordSend();
-        telemetry.sent(placed.get(), candidates.size(), level(placed.get()));
-        attempt = new RelayAttempt(gateway, this, request, placed.get());
+        telemetry.sent(decision.get(), candidates.size(), level(decision.get()));
+        attempt = new RelayAttempt(gateway, this, request, decision.get());
         attempt.start();
     }
 
     /**
      * Refuses a least urgent request that could not be answered in time at the chosen server; returns whether it did.
      */
-    private boolean rejectedByAdmission(PlacementPolicy.Decision placed) {
+    private boolean rejectedByAdmission(PlacementPolicy.Decision decision) {
         if (history.sendCount() > 0
                 || !gateway.enabled(Mechanism.ADMISSION)
                 || !config.isLeastUrgent(workspace, route, service)) {
             return false;
         }
         OptionalLong retryAfterMillis = AdmissionControl.retryAfterMillis(
-                route, placed.expectedWaitMillis(), remainingMillis(), gateway.randomFraction());
+                route, decision.expectedWaitMillis(), remainingMillis(), gateway.randomFraction());
         retryAfterMillis.ifPresent(millis -> {
-            telemetry.rejected(placed);
-            refuse(Refusal.notRun(ResultCode.QUEUE_FULL, millis));
+            telemetry.rejected(decision);
+            refuse(Refusal.notExecuted(ResultCode.QUEUE_FULL, millis));
         });
         return retryAfterMillis.isPresent();
     }
@@ -184,20 +184,20 @@
     private void failWithoutServer() {
         endWithoutResponse(
                 "no server available for another attempt",
-                Refusal.notRun(ResultCode.NO_SERVER, gateway.retryAfterMillis(service)));
+                Refusal.notExecuted(ResultCode.NO_SERVER, gateway.retryAfterMillis(service)));
     }
 
     /**
-     * Ends the exchange without a server's response; uses {@code refusalIfNotRun} only if no server may have executed
+     * Ends the exchange without a server's response; uses {@code refusalIfNotExecuted} only if no server may have executed
      * the request.
      */
-    private void endWithoutResponse(String reason, Refusal refusalIfNotRun) {
+    private void endWithoutResponse(String reason, Refusal refusalIfNotExecuted) {
         if (progress.headForwarded()) {
             truncate(reason);
         } else if (history.mayHaveRun()) {
             refuse(Refusal.of(502, ResultCode.CONNECTION_LOST));
         } else {
-            refuse(refusalIfNotRun);
+            refuse(refusalIfNotExecuted);
         }
     }
 
@@ -236,8 +236,8 @@
         return config.rank(workspace, route);
     }
 
-    private int level(PlacementPolicy.Decision placed) {
-        return config.priorityLevel(workspace, route, service, placed.step());
+    private int level(PlacementPolicy.Decision decision) {
+        return config.priorityLevel(workspace, route, service, decision.step());
     }
 
     /** Returns the time until the deadline, in milliseconds. */
@@ -246,19 +246,19 @@
     }
 
     /** Returns the request for the chosen server; it shares the body of this one. */
-    FullHttpRequest backendRequest(PlacementPolicy.Decision placed) {
+    FullHttpRequest backendRequest(PlacementPolicy.Decision decision) {
         HttpHeaders headers = head.headers().copy();
         HopByHopHeaders.remove(headers);
         gateway.dialect()
                 .prepareBackendRequest(
                         headers,
                         new BackendRequestMetadata(
-                                placed.server().id(),
+                                decision.server().id(),
                                 Math.max(1, remainingMillis()),
                                 workspace.map(WorkspaceConfig::name),
-                                level(placed),
+                                level(decision),
                                 progress.resumeAfterEvent(),
-                                placed.fetch().map(fetch -> fetch.source().address()),
+                                decision.fetch().map(fetch -> fetch.source().address()),
                                 progress.weightsVersion()));
         if (body.isReadable() || !usuallyWithoutBody(head.method())) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
@@ -314,7 +314,7 @@
             startAttempt();
             return;
         }
-        endWithoutResponse(reason, Refusal.notRun(ResultCode.NO_SERVER, gateway.retryAfterMillis(service)));
+        endWithoutResponse(reason, Refusal.notExecuted(ResultCode.NO_SERVER, gateway.retryAfterMillis(service)));
     }
 
     private boolean canResume() {
@@ -325,7 +325,7 @@
     void markExecutionStarted() {
         if (!executionStarted) {
             executionStarted = true;
-            workspace.ifPresent(terms -> gateway.executionStarted(terms.name()));
+            workspace.ifPresent(owner -> gateway.executionStarted(owner.name()));
         }
     }
 
@@ -354,7 +354,7 @@
         } else if (sent || history.mayHaveRun()) {
             refuse(Refusal.of(504, ResultCode.ANSWER_TOO_LATE));
         } else {
-            refuse(Refusal.notRun(ResultCode.EXPIRED_IN_QUEUE, gateway.retryAfterMillis()));
+            refuse(Refusal.notExecuted(ResultCode.EXPIRED_IN_QUEUE, gateway.retryAfterMillis()));
         }
     }
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
@@ -56,9 +56,9 @@
     }
 
     /** Logs the start of an attempt, with the server's load at the time of the decision. */
-    void sent(PlacementPolicy.Decision placed, int candidates, int level) {
+    void sent(PlacementPolicy.Decision decision, int candidates, int level) {
         attempts++;
-        ServerInstance chosen = placed.server();
+        ServerInstance chosen = decision.server();
         server = chosen.id();
         LogLine line = logLine(LogEvent.SENT, false)
                 .with(LogField.SERVER, server)
@@ -66,10 +66,10 @@
                 .with(LogField.CANDIDATES, candidates)
                 .with(LogField.RUNNING, chosen.totalInFlight())
                 .with(LogField.READING, chosen.totalPendingPrefillTokens())
-                .with(LogField.TO_READ, placed.tokensToPrefill())
-                .with(LogField.STEP, placed.step())
+                .with(LogField.TO_READ, decision.tokensToPrefill())
+                .with(LogField.STEP, decision.step())
                 .with(LogField.LEVEL, level);
-        placed.fetch().ifPresent(fetch -> {
+        decision.fetch().ifPresent(fetch -> {
             gateway.count("fetch");
             line.with(LogField.FETCH, fetch.tokens())
                     .with(LogField.FETCH_FROM, fetch.source().id());
@@ -119,10 +119,10 @@
     }
 
     /** Notes that the request cannot meet its target at the chosen server. */
-    void rejected(PlacementPolicy.Decision placed) {
+    void rejected(PlacementPolicy.Decision decision) {
         gateway.count("turned_away");
-        server = placed.server().id();
-        reason = "expected wait at this server is " + Math.round(placed.expectedWaitMillis()) + " ms";
+        server = decision.server().id();
+        reason = "expected wait at this server is " + Math.round(decision.expectedWaitMillis()) + " ms";
     }
 
     /** Notes that the request is quarantined, since servers crashed while running it. */
--- a/gateway/src/main/java/org/tanagerhinge/gateway/StoreSynchronizer.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/StoreSynchronizer.java
@@ -124,10 +124,10 @@
         }
         nextCatchUpMillis = nowMillis + MIN_CATCH_UP_INTERVAL_MILLIS;
         store.readConfig(timeoutMillis(), reply -> {
-            if (reply instanceof MetadataStore.Success<MetadataStore.StoredConfig> answer) {
+            if (reply instanceof MetadataStore.Success<MetadataStore.StoredConfig> success) {
                 markReachable();
-                if (answer.value().document() != null) {
-                    apply(answer.value().document());
+                if (success.value().document() != null) {
+                    apply(success.value().document());
                 }
             } else {
                 recordFailure(reply);
@@ -138,10 +138,10 @@
     private void readServers() {
         long requestedAtMillis = gateway.nowMillis();
         store.listServers(timeoutMillis(), guarded(this::pollServers, reply -> {
-            if (reply instanceof MetadataStore.Success<MetadataStore.ServerListing> answer) {
+            if (reply instanceof MetadataStore.Success<MetadataStore.ServerListing> success) {
                 markReachable();
-                logUnreadable(answer.value().unreadable());
-                if (gateway.apply(answer.value().servers(), requestedAtMillis)) {
+                logUnreadable(success.value().unreadable());
+                if (gateway.apply(success.value().servers(), requestedAtMillis)) {
                     peers.reportNow();
                 }
                 boolean empty = gateway.directory().all().isEmpty();
@@ -185,9 +185,9 @@
     }
 
     private void handleConfig(MetadataStore.Reply<MetadataStore.StoredConfig> reply) {
-        if (reply instanceof MetadataStore.Success<MetadataStore.StoredConfig> answer) {
+        if (reply instanceof MetadataStore.Success<MetadataStore.StoredConfig> success) {
             markReachable();
-            MetadataStore.StoredConfig stored = answer.value();
+            MetadataStore.StoredConfig stored = success.value();
             revision = Math.max(revision, stored.revision());
             watching = gateway.config().isPresent() || stored.document() != null;
             if (stored.document() == null) {
@@ -232,9 +232,9 @@
 
     private void register() {
         store.registerGateway(gateway.options().name(), peers.address(), LEASE_TTL, guarded(this::register, reply -> {
-            if (reply instanceof MetadataStore.Success<Long> answer) {
+            if (reply instanceof MetadataStore.Success<Long> success) {
                 markReachable();
-                leaseId = answer.value();
+                leaseId = success.value();
                 readGateways();
                 schedule(this::keepLeaseAlive, KEEP_ALIVE_MILLIS);
             } else {
@@ -246,9 +246,9 @@
 
     private void keepLeaseAlive() {
         store.keepAlive(leaseId, guarded(this::keepLeaseAlive, reply -> {
-            if (reply instanceof MetadataStore.Success<Boolean> answer) {
+            if (reply instanceof MetadataStore.Success<Boolean> success) {
                 markReachable();
-                if (answer.value()) {
+                if (success.value()) {
                     if (!peers.table().anyPresent(gateway.nowMillis())) {
                         readGateways();
                     }
@@ -266,9 +266,9 @@
     /** Reads the quarantined requests from the store, where they survive a simultaneous loss of all gateways. */
     private void readQuarantine() {
         store.listQuarantined(guarded(this::readQuarantine, reply -> {
-            if (reply instanceof MetadataStore.Success<List<RequestFingerprint>> answer) {
+            if (reply instanceof MetadataStore.Success<List<RequestFingerprint>> success) {
                 markReachable();
-                answer.value().forEach(gateway::quarantinedInStore);
+                success.value().forEach(gateway::quarantinedInStore);
             } else {
                 schedule(this::readQuarantine, RETRY_MILLIS * 2);
             }
@@ -290,9 +290,9 @@
 
     private void readGateways() {
         store.listGateways(reply -> {
-            if (reply instanceof MetadataStore.Success<List<String>> answer) {
+            if (reply instanceof MetadataStore.Success<List<String>> success) {
                 markReachable();
-                peers.addresses(answer.value());
+                peers.addresses(success.value());
             }
         });
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/UsageCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/UsageCodec.java
@@ -19,7 +19,7 @@
 
     /** Encodes usage reports. */
     public static byte[] encodeReports(List<UsageReport> reports) {
-        UsageTold.Builder told = UsageTold.newBuilder();
+        UsageTold.Builder message = UsageTold.newBuilder();
         for (UsageReport report : reports) {
             UsageSource.Builder source = UsageSource.newBuilder()
                     .setNode(report.node())
@@ -28,9 +28,9 @@
                     .setAsOfMillis(report.asOfMillis())
                     .setLast(report.last());
             report.windows().forEach((window, counts) -> source.addWindows(encodeWindow(window, counts)));
-            told.addSources(source);
+            message.addSources(source);
         }
-        return told.build().toByteArray();
+        return message.build().toByteArray();
     }
 
     /** Decodes usage reports. */
--- a/gateway/src/test/java/org/tanagerhinge/gateway/EventSplitterTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/EventSplitterTest.java
@@ -17,13 +17,13 @@
 
 /** Guards against events that are split, lost or repeated when their bytes arrive in arbitrary pieces. */
 class EventSplitterTest {
-    private record Read(long id, String text) {}
+    private record SplitEvent(long id, String text) {}
 
-    private static List<Read> feed(EventSplitter splitter, String text) {
+    private static List<SplitEvent> feed(EventSplitter splitter, String text) {
         ByteBuf bytes = Unpooled.copiedBuffer(text, StandardCharsets.UTF_8);
-        List<Read> events = new ArrayList<>();
+        List<SplitEvent> events = new ArrayList<>();
         for (EventSplitter.Event event : splitter.feed(bytes)) {
-            events.add(new Read(event.id(), event.bytes().toString(StandardCharsets.UTF_8)));
+            events.add(new SplitEvent(event.id(), event.bytes().toString(StandardCharsets.UTF_8)));
             event.bytes().release();
         }
         bytes.release();
@@ -39,7 +39,7 @@
     void eventsAreTheSameForAnyChunking(long seed) {
         Random random = new Random(seed);
         StringBuilder all = new StringBuilder();
-        List<Read> expected = new ArrayList<>();
+        List<SplitEvent> expected = new ArrayList<>();
         for (int i = 1; i <= 200; i++) {
             String end = random.nextBoolean() ? "\n" : "\r\n";
             String event = switch (random.nextInt(3)) {
@@ -48,16 +48,16 @@
                 default -> ": nothing" + end + "id: " + i + end + end;
             };
             all.append(event);
-            expected.add(new Read(i, event));
+            expected.add(new SplitEvent(i, event));
         }
         EventSplitter splitter = splitter();
         byte[] bytes = all.toString().getBytes(StandardCharsets.UTF_8);
-        List<Read> events = new ArrayList<>();
+        List<SplitEvent> events = new ArrayList<>();
         for (int at = 0; at < bytes.length; ) {
             int length = Math.min(bytes.length - at, 1 + random.nextInt(1 + random.nextInt(60)));
             ByteBuf piece = Unpooled.wrappedBuffer(bytes, at, length);
             for (EventSplitter.Event event : splitter.feed(piece)) {
-                events.add(new Read(event.id(), event.bytes().toString(StandardCharsets.UTF_8)));
+                events.add(new SplitEvent(event.id(), event.bytes().toString(StandardCharsets.UTF_8)));
                 event.bytes().release();
             }
             at += length;
@@ -70,9 +70,9 @@
     @Test
     void partialEventIsHeldUntilComplete() {
         EventSplitter splitter = splitter();
-        assertEquals(List.of(new Read(1, "id: 1\n\n")), feed(splitter, "id: 1\n\nid: 2\ndata: ha"));
+        assertEquals(List.of(new SplitEvent(1, "id: 1\n\n")), feed(splitter, "id: 1\n\nid: 2\ndata: ha"));
         assertTrue(splitter.hasPartialEvent());
-        assertEquals(List.of(new Read(2, "id: 2\ndata: half\n\n")), feed(splitter, "lf\n\n"));
+        assertEquals(List.of(new SplitEvent(2, "id: 2\ndata: half\n\n")), feed(splitter, "lf\n\n"));
         assertFalse(splitter.hasPartialEvent());
         splitter.release();
     }
@@ -80,8 +80,8 @@
     @Test
     void eventWithoutNumericIdHasIdMinusOne() {
         EventSplitter splitter = splitter();
-        assertEquals(List.of(new Read(-1, "data: x\n\n")), feed(splitter, "data: x\n\n"));
-        assertEquals(List.of(new Read(-1, "id: x\n\n")), feed(splitter, "id: x\n\n"));
+        assertEquals(List.of(new SplitEvent(-1, "data: x\n\n")), feed(splitter, "data: x\n\n"));
+        assertEquals(List.of(new SplitEvent(-1, "id: x\n\n")), feed(splitter, "id: x\n\n"));
         splitter.release();
     }
 
--- a/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeerCodecTest.java
@@ -47,16 +47,16 @@
     @Test
     void largestReportStaysUnderAQuarterOfTheControlBandwidth() {
         RequestQuarantine quarantine = RequestQuarantine.create();
-        ServerAnnouncements words = ServerAnnouncements.create();
+        ServerAnnouncements announcements = ServerAnnouncements.create();
         for (int i = 0; i < 128; i++) {
             for (String instanceId : List.of("i-1@1700000000000", "i-2@1700000000000", "i-3@1700000000000")) {
                 quarantine.recordCrash(new RequestFingerprint(i, i), instanceId, 0);
             }
-            words.recordLeaving("i-0123456789" + i + "@1700000000000", 0);
+            announcements.recordLeaving("i-0123456789" + i + "@1700000000000", 0);
         }
         List<RequestQuarantine.Suspicion> all = new ArrayList<>(quarantine.pendingUpdates(1_000_000));
         all.addAll(quarantine.nextRefreshes(1_000_000));
-        int bytes = PeerCodec.encodeState(message(all, words.nextLeavingReport())).length
+        int bytes = PeerCodec.encodeState(message(all, announcements.nextLeavingReport())).length
                 - PeerCodec.encodeState(message(List.of(), List.of())).length;
         assertTrue(bytes < CONTROL_BYTES_PER_SECOND / 4, bytes + " bytes");
     }
--- a/gateway/src/test/java/org/tanagerhinge/gateway/PeriodicTaskRecoveryTest.java
+++ b/gateway/src/test/java/org/tanagerhinge/gateway/PeriodicTaskRecoveryTest.java
@@ -33,8 +33,8 @@
 import org.tanagerhinge.node.metrics.NodeMetrics;
 
 /**
- * Guards against a loop that ends silently when one of its steps throws: the gateway that watched the configuration
- * once stopped doing so after an exception, while its other loop went on, so that no other gateway took over.
+ * Guards against a loop that ends silently when one of its steps throws, after which the gateway that reads the store
+ * for its peers no longer picks up configuration or servers.
  */
 class PeriodicTaskRecoveryTest {
     private static final Duration CONDITION_TIMEOUT = Duration.ofSeconds(30);
@@ -51,8 +51,8 @@
         private final String faultyCall;
         private final Fault fault;
 
-        FaultyStore(String faulty, Fault fault) {
-            this.faultyCall = faulty;
+        FaultyStore(String faultyCall, Fault fault) {
+            this.faultyCall = faultyCall;
             this.fault = fault;
         }
 
@@ -60,31 +60,31 @@
             return calls.computeIfAbsent(kind, name -> new AtomicInteger()).get();
         }
 
-        private <T> void reply(String kind, T value, Consumer<Reply<T>> done) {
+        private <T> void reply(String kind, T value, Consumer<Reply<T>> onReply) {
             int count = calls.computeIfAbsent(kind, name -> new AtomicInteger()).incrementAndGet();
             if (count == 2 && kind.equals(faultyCall)) {
                 if (fault == Fault.THROWN) {
                     throw new IllegalStateException("deliberate");
                 }
-                done.accept(new Success<>(null));
+                onReply.accept(new Success<>(null));
                 return;
             }
-            done.accept(new Success<>(value));
+            onReply.accept(new Success<>(value));
         }
 
         @Override
-        public void listServers(long timeoutMillis, Consumer<Reply<ServerListing>> done) {
-            reply("servers", new ServerListing(List.of(), List.of()), done);
+        public void listServers(long timeoutMillis, Consumer<Reply<ServerListing>> onReply) {
+            reply("servers", new ServerListing(List.of(), List.of()), onReply);
         }
 
         @Override
-        public void readConfig(long timeoutMillis, Consumer<Reply<StoredConfig>> done) {
-            reply("config", new StoredConfig(1, new byte[0]), done);
+        public void readConfig(long timeoutMillis, Consumer<Reply<StoredConfig>> onReply) {
+            reply("config", new StoredConfig(1, new byte[0]), onReply);
         }
 
         @Override
-        public void watchConfig(long revision, long waitMillis, Consumer<Reply<StoredConfig>> done) {
-            reply("watch", new StoredConfig(revision, new byte[0]), done);
+        public void watchConfig(long revision, long waitMillis, Consumer<Reply<StoredConfig>> onReply) {
+            reply("watch", new StoredConfig(revision, new byte[0]), onReply);
         }
 
         @Override
@@ -93,28 +93,28 @@
         }
 
         @Override
-        public void registerGateway(String name, String address, Duration lease, Consumer<Reply<Long>> done) {
-            reply("join", 7L, done);
+        public void registerGateway(String name, String address, Duration lease, Consumer<Reply<Long>> onReply) {
+            reply("join", 7L, onReply);
         }
 
         @Override
-        public void keepAlive(long lease, Consumer<Reply<Boolean>> done) {
-            reply("keep", false, done);
+        public void keepAlive(long lease, Consumer<Reply<Boolean>> onReply) {
+            reply("keep", false, onReply);
         }
 
         @Override
-        public void listGateways(Consumer<Reply<List<String>>> done) {
-            reply("gateways", List.of(), done);
+        public void listGateways(Consumer<Reply<List<String>>> onReply) {
+            reply("gateways", List.of(), onReply);
         }
 
         @Override
-        public void quarantine(RequestFingerprint request, Duration time, Consumer<Reply<Long>> done) {
-            reply("hold", 7L, done);
+        public void quarantine(RequestFingerprint request, Duration time, Consumer<Reply<Long>> onReply) {
+            reply("hold", 7L, onReply);
         }
 
         @Override
-        public void listQuarantined(Consumer<Reply<List<RequestFingerprint>>> done) {
-            reply("held", List.of(), done);
+        public void listQuarantined(Consumer<Reply<List<RequestFingerprint>>> onReply) {
+            reply("held", List.of(), onReply);
         }
     }
 
