--- a/core/src/main/java/org/tanagerhinge/core/relay/Route.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/Route.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns the limits on the attempts of one request. */
-    public AttemptLimits attemptTerms() {
+    public AttemptLimits attemptLimits() {
         return new AttemptLimits(idempotent(), maxAttempts, Integer.MAX_VALUE, maxAttempts + EXTRA_SENDS);
     }
 
--- a/core/src/test/java/org/tanagerhinge/core/relay/RetryTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/relay/RetryTest.java
@@ -30,7 +30,7 @@
     })
     void retriesOnlyWhenARepeatedExecutionIsSafe(
             RouteKind kind, boolean resumable, AttemptFailure end, int executions, int sends, boolean retried) {
-        AttemptHistory history = AttemptHistory.of(route(kind, resumable, 2).attemptTerms());
+        AttemptHistory history = AttemptHistory.of(route(kind, resumable, 2).attemptLimits());
         for (int i = 0; i < sends; i++) {
             history.recordSend();
             history.recordEnd(i >= sends - executions);
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
@@ -114,7 +114,7 @@
         long timeoutMillis = Math.min(metadata.timeoutMillis().orElse(route.timeoutMillis()), route.timeoutMillis());
         deadlineMillis = arrivedAtMillis + timeoutMillis;
         timer = gateway.schedule(this::deadlineExpired, Math.max(1, remainingMillis()));
-        history = AttemptHistory.of(route.attemptTerms());
+        history = AttemptHistory.of(route.attemptLimits());
         service = route.service(metadata.attemptId().hashCode());
         gateway.budget().recordRequest(service, gateway.nowMillis());
         telemetry.routed(route, workspace, service, rank(), remainingMillis());
