--- a/core/src/main/java/org/tanagerhinge/core/attempt/AttemptFailure.java
+++ b/core/src/main/java/org/tanagerhinge/core/attempt/AttemptFailure.java
@@ -1,20 +1,20 @@
 package org.tanagerhinge.core.attempt;
 
-/** The ways in which sending a request to a backend server may fail. */
+/** Lists the ways in which an attempt to send a request to a backend server can fail. */
 public enum AttemptFailure {
-    /** No connection could be made; the server has seen nothing of the request. */
+    /** No connection was established; the server received nothing of the request. */
     NOT_SENT,
-    /** The server states that it did not run the request and won't. */
+    /** The server reports that it did not run the request and will not run it. */
     NOT_RUN,
-    /** Another incarnation answers at the address; it did not run the request. */
+    /** Another instance answered at the address; it did not run the request. */
     WRONG_SERVER,
     /** The server answered with an error of its own. */
     SERVER_ERROR,
-    /** The connection broke, or what came is no answer: the request may have run. */
+    /** The connection broke, or the answer was malformed; the request may have run. */
     BROKEN,
-    /** The server said nothing for too long: the request may be running. */
+    /** The server did not answer within the timeout; the request may still be running. */
     SILENT,
-    /** The answer broke off after a part of it was passed on. */
+    /** The answer broke off after part of it was forwarded to the caller. */
     CUT;
 
     /** Returns whether the request may have run. */
@@ -25,12 +25,12 @@
         };
     }
 
-    /** Returns whether the connection broke under the request, as it does when the server ends. */
+    /** Returns whether the connection broke during the request, as it does when the server crashes. */
     public boolean connectionBroken() {
         return this == BROKEN || this == CUT;
     }
 
-    /** Returns whether the server has seen the request, so that sending it again is a repeat there. */
+    /** Returns whether the server may have received the request, so that sending it again is a retry there. */
     public boolean reachedServer() {
         return this != NOT_SENT;
     }
--- a/core/src/main/java/org/tanagerhinge/core/attempt/AttemptHistory.java
+++ b/core/src/main/java/org/tanagerhinge/core/attempt/AttemptHistory.java
@@ -1,13 +1,13 @@
 package org.tanagerhinge.core.attempt;
 
 /**
- * The attempts of one request so far, and whether another one may follow.
+ * Tracks the attempts of one request and decides whether it may be retried.
  *
- * <p>The one place that decides this, for requests of every interface. What goes wrong without it: a request that must not
- * run twice is sent again after an attempt whose fate is not known, or one that nobody can answer is sent for ever.
+ * <p>All interfaces use this decision. It guards against running a non-idempotent request twice after an attempt whose
+ * outcome is unknown, and against endless retries of a request that no server can answer.
  */
 public final class AttemptHistory {
-    /** A repeat with less time left than this can hardly be answered in time, in milliseconds. */
+    /** Remaining time below which a retry could hardly be answered in time. */
     private static final long MIN_REMAINING_MILLIS = 30;
 
     private final AttemptLimits limits;
@@ -19,17 +19,21 @@
         this.limits = limits;
     }
 
-    /** Returns the history of a request that hasn't been sent yet. */
+    /** Creates the history of a request that has not been sent yet. */
     public static AttemptHistory of(AttemptLimits limits) {
         return new AttemptHistory(limits);
     }
 
-    /** Notes that the request is sent. */
+    /** Records that the request is sent. */
     public void recordSend() {
         sendCount++;
     }
 
-    /** Notes how its newest attempt ended. */
+    /**
+     * Records the end of the newest attempt.
+     *
+     * @param mayHaveRun whether that attempt may have run
+     */
     public void recordEnd(boolean mayHaveRun) {
         if (mayHaveRun) {
             possibleRunCount++;
@@ -38,7 +42,7 @@
         }
     }
 
-    /** Returns how often it was sent. */
+    /** Returns how often the request was sent. */
     public int sendCount() {
         return sendCount;
     }
@@ -49,16 +53,16 @@
     }
 
     /**
-     * Returns whether it may be sent again, now that its newest attempt has ended.
+     * Returns whether the request may be sent again after its newest attempt has ended.
      *
      * @param newestMayHaveRun whether that attempt may have run
-     * @param leftMillis time until the request is given up
+     * @param remainingMillis time left until the request is abandoned
      */
     public boolean mayRetry(boolean newestMayHaveRun, long remainingMillis) {
         return allowsRetry(newestMayHaveRun, possibleRunCount, remainingMillis);
     }
 
-    /** Returns whether it could be sent again, were its newest attempt to end now as one that may have run. */
+    /** Returns whether the request could be retried if its newest attempt ended now and may have run. */
     public boolean couldRetryAfterRun(long remainingMillis) {
         return allowsRetry(true, possibleRunCount + 1, remainingMillis);
     }
--- a/core/src/main/java/org/tanagerhinge/core/attempt/AttemptLimits.java
+++ b/core/src/main/java/org/tanagerhinge/core/attempt/AttemptLimits.java
@@ -1,11 +1,11 @@
 package org.tanagerhinge.core.attempt;
 
 /**
- * How often one request may be sent.
+ * Limits the attempts of one request.
  *
- * @param idempotent whether it may run more than once without harm
- * @param mostRuns how many backend servers it may run on
- * @param mostRefusals how many backend servers may refuse it unrun before it is given up
- * @param mostSends how many backend servers it may be sent to in all: a refusal costs little, but not nothing
+ * @param idempotent whether the request may run more than once without harm
+ * @param maxRuns maximum number of backend servers that it may run on
+ * @param maxRefusals number of backend servers that may refuse it without running it before it is abandoned
+ * @param maxSends maximum number of backend servers that it may be sent to in total, refusals included
  */
 public record AttemptLimits(boolean idempotent, int maxRuns, int maxRefusals, int maxSends) {}
--- a/core/src/main/java/org/tanagerhinge/core/attempt/RequestFingerprint.java
+++ b/core/src/main/java/org/tanagerhinge/core/attempt/RequestFingerprint.java
@@ -8,14 +8,15 @@
 import java.util.zip.CRC32C;
 
 /**
- * Equal for requests that ask the same of a server: workspace, method, host, path with query, and body. Each try of a caller
- * has an id of its own, so ids can't tell that a request comes again.
+ * Identifies equal requests: same workspace, method, host, path with query, and body.
  *
- * <p>The workspace stands by itself: checksums are quick on large bodies, but a caller could make a body that has the checksum
- * of another's, and what is held against one workspace must not fall on another.
+ * <p>Request ids cannot identify a repeated request, since each retry of a caller has its own.
  *
- * @param workspace hash of the name of the caller's workspace
- * @param content two checksums of all the rest
+ * <p>The workspace is hashed separately. The checksums are fast but not collision-resistant, so a caller could forge a
+ * body with the fingerprint of another workspace's request and have that quarantined.
+ *
+ * @param workspaceHash hash of the name of the caller's workspace
+ * @param contentHash CRC-32 and CRC-32C of method, host, path with query, and body
  */
 public record RequestFingerprint(int workspaceHash, long contentHash) {
     private static final int WORKSPACE_HEX_DIGITS = 8;
@@ -26,7 +27,7 @@
      *
      * @param workspace name of the caller's workspace, empty if it has none
      * @param target path and query as the caller wrote them
-     * @param body the whole body; its position stays where it is
+     * @param body the complete body; its position is not changed
      */
     public static RequestFingerprint of(String workspace, String method, String host, String target, ByteBuffer body) {
         byte[] prefix = String.join("\n", method, host, target, "").getBytes(StandardCharsets.UTF_8);
@@ -39,7 +40,7 @@
         return new RequestFingerprint(workspace.hashCode(), crc32.getValue() << Integer.SIZE | crc32c.getValue());
     }
 
-    /** Returns the fingerprint that a text of 24 hexadecimal digits names; nothing for any other text. */
+    /** Parses a fingerprint from 24 hexadecimal digits; returns empty for any other text. */
     public static Optional<RequestFingerprint> parse(String text) {
         if (text.length() != HEX_DIGITS || !text.chars().allMatch(HexFormat::isHexDigit)) {
             return Optional.empty();
@@ -49,7 +50,7 @@
                 HexFormat.fromHexDigitsToLong(text, WORKSPACE_HEX_DIGITS, HEX_DIGITS)));
     }
 
-    /** Returns it as 24 hexadecimal digits. */
+    /** Returns the fingerprint as 24 hexadecimal digits. */
     @Override
     public String toString() {
         return HexFormat.of().toHexDigits(workspaceHash) + HexFormat.of().toHexDigits(contentHash);
--- a/core/src/main/java/org/tanagerhinge/core/attempt/RequestQuarantine.java
+++ b/core/src/main/java/org/tanagerhinge/core/attempt/RequestQuarantine.java
@@ -11,34 +11,33 @@
 import java.util.OptionalLong;
 
 /**
- * Requests under which servers have ended, and which of them are sent no more for now.
+ * Quarantines requests that repeatedly crash the servers on which they run.
  *
- * <p>Answers the load pattern of a request that ends each server that begins to run it and comes again and again: each end
- * takes everything else that runs there with it, and servers end faster than they come back. Who stands beside such a request
- * is suspected as well, once for each end; a request that a server runs to its end isn't the cause, whatever it was beside, so
- * that clears it. Three different servers that ended under a request without that put it into quarantine.
+ * <p>Without it, one request that crashes servers and is retried takes down servers faster than they restart, together
+ * with all other requests that run there. Each request in flight at a server that crashes is suspected. {@value
+ * #CRASHES_TO_QUARANTINE} crashes quarantine a request, unless a server completes it in between, which clears it.
  *
- * <p>Each node tells the others what it saw. What is told and kept is bounded and lapses: suspicions after {@link
- * #REMEMBER_MILLIS}, a quarantine after {@link #HOLD_MILLIS}, after which one more end brings it back.
+ * <p>Nodes report suspicions to each other. Their number is bounded and they expire: crashes after {@link
+ * #CRASH_RETENTION_MILLIS}, a quarantine after {@link #QUARANTINE_MILLIS}; one more crash then renews it.
  */
 public final class RequestQuarantine {
-    /** Servers that must have ended under a request: two may end beside a request that has nothing to do with it. */
+    /** Number of crashes that quarantine a request; one or two may coincide with an unrelated request. */
     static final int CRASHES_TO_QUARANTINE = 3;
-    /** How long a request is sent no more: as long as the platform's store keeps a lease at the most, in milliseconds. */
+    /** Duration of a quarantine, which is the maximum lease time of the platform's store. */
     public static final long QUARANTINE_MILLIS = 600_000;
-    /** How long an end is held against a request, in milliseconds. */
+
     static final long CRASH_RETENTION_MILLIS = 2 * QUARANTINE_MILLIS;
-    /** How long it is remembered that a request was cleared: longer than a suspicion is under way, in milliseconds. */
+    /** How long a cleared request is remembered; longer than a report about it may be under way. */
     private static final long CLEARED_RETENTION_MILLIS = 30_000;
-    /** Nodes see one end of a server within this time of each other, in milliseconds: less than a start takes. */
+    /** Reports of a server's crash within this time are the same crash; shorter than a server's start. */
     private static final long SAME_CRASH_WINDOW_MILLIS = 2_000;
-    /** Requests that are suspected at the most; the least suspected ones make room. */
+    /** Maximum number of suspects; those with the least evidence are evicted first. */
     static final int MAX_SUSPECTS = 512;
-    /** How often news is told: datagrams are lost. */
+    /** Number of times that an update is reported, since datagrams may be lost. */
     private static final int REPORT_REPETITIONS = 3;
-    /** News in one report at the most. */
+
     static final int MAX_UPDATES_PER_REPORT = 32;
-    /** What is told again for nodes that have come later, in one report at the most. */
+    /** Maximum number of refreshes in one report, for nodes that missed the updates. */
     static final int MAX_REFRESHES_PER_REPORT = 4;
 
     private static final Comparator<Map.Entry<RequestFingerprint, Suspect>> MOST_CRASHES_FIRST =
@@ -51,25 +50,25 @@
 
     private RequestQuarantine() {}
 
-    /** Returns a quarantine that suspects nobody. */
+    /** Creates an empty quarantine. */
     public static RequestQuarantine create() {
         return new RequestQuarantine();
     }
 
     /**
-     * The end of a server under a request.
+     * Reports a server crash that a request may have caused.
      *
-     * @param server hash of the name of the server's life
-     * @param ageMillis how long ago it was
+     * @param instanceHash hash of the server's instance id
+     * @param ageMillis time since the crash
      */
     public record CrashReport(int instanceHash, long ageMillis) {}
 
     /**
-     * What one node tells another of a request.
+     * Reports to another node what is known of a suspected request.
      *
-     * @param ends servers that ended under it, the newest ones
-     * @param clearedMillis how long ago a server ran it to its end
-     * @param heldMillis how long it is to be sent no more; 0 if it may be sent
+     * @param crashes the newest crashes of servers that were running it
+     * @param clearedAgeMillis time since a server completed it; empty if none did
+     * @param remainingMillis remaining time of its quarantine; 0 if it may be sent
      */
     public record Suspicion(
             RequestFingerprint request,
@@ -77,9 +76,8 @@
             Optional<Long> clearedAgeMillis,
             long remainingMillis) {}
 
-    /** A server's end at a time of this node's clock. */
     private record Crash(int instanceHash, long atMillis) {
-        /** A server doesn't end twice in a moment; one that ends again later was started in between. */
+        /** Returns whether another report is about this crash. A later crash of the same server is a new one. */
         private boolean isSameCrash(int otherInstanceHash, long otherAtMillis) {
             return instanceHash == otherInstanceHash && Math.abs(atMillis - otherAtMillis) <= SAME_CRASH_WINDOW_MILLIS;
         }
@@ -120,7 +118,7 @@
             }
         }
 
-        /** Returns whether a server ran the request to its end after all that another node tells of it. */
+        /** Returns whether a server completed the request after all crashes in an update. */
         private boolean clearedSince(Suspicion update, long nowMillis) {
             return clearedAtMillis != Long.MIN_VALUE
                     && update.crashes().stream().noneMatch(crash -> nowMillis - crash.ageMillis() > clearedAtMillis);
@@ -148,17 +146,17 @@
         }
     }
 
-    /** Returns whether nothing is known of any request, so that none needs to be looked up. */
+    /** Returns whether there are no suspects, so that no fingerprint needs to be computed. */
     public boolean isEmpty() {
         return suspects.isEmpty();
     }
 
-    /** Returns how many requests are known of. */
+    /** Returns the number of suspects. */
     public int size() {
         return suspects.size();
     }
 
-    /** Returns for how long a request is to be sent no more, in milliseconds; nothing if it may be sent. */
+    /** Returns the remaining time of a request's quarantine, in milliseconds; empty if it may be sent. */
     public OptionalLong remainingMillis(RequestFingerprint request, long nowMillis) {
         Suspect suspect = suspects.get(request);
         return suspect != null && suspect.isQuarantined(nowMillis)
@@ -167,10 +165,10 @@
     }
 
     /**
-     * Notes that a server has ended while a request was in progress there.
+     * Records that a server crashed while a request was in flight there.
      *
-     * @param life name of the server's life
-     * @return whether the request is sent no more from now on, and was before
+     * @param instanceId id of the server's instance
+     * @return whether the request is newly quarantined
      */
     public boolean recordCrash(RequestFingerprint request, String instanceId, long nowMillis) {
         Suspect suspect = suspect(request);
@@ -180,7 +178,7 @@
         return suspect.isQuarantined(nowMillis) && !wasQuarantined;
     }
 
-    /** Notes that a server has run a request to its end; returns whether it was suspected. */
+    /** Records that a server completed a request; returns whether the request was suspected. */
     public boolean recordCompletedRun(RequestFingerprint request, long nowMillis) {
         Suspect suspect = suspects.get(request);
         if (suspect == null || suspect.crashes.isEmpty()) {
@@ -191,7 +189,7 @@
         return true;
     }
 
-    /** Takes a quarantine that outlasted the nodes that began it; returns whether it wasn't known. */
+    /** Restores a quarantine read from the platform's store; returns whether it was not known here. */
     public boolean restore(RequestFingerprint request, long nowMillis) {
         Suspect suspect = suspect(request);
         boolean wasQuarantined = suspect.isQuarantined(nowMillis);
@@ -199,7 +197,7 @@
         return !wasQuarantined;
     }
 
-    /** Takes what another node tells; returns whether the request is sent no more from now on, and was before. */
+    /** Merges a report from another node; returns whether the request is newly quarantined. */
     public boolean merge(Suspicion update, long nowMillis) {
         Suspect suspect = suspect(update.request());
         boolean wasQuarantined = suspect.isQuarantined(nowMillis);
@@ -230,33 +228,30 @@
         return added;
     }
 
-    /** Forgets what has lapsed. */
+    /** Removes expired suspects. */
     public void evictExpired(long nowMillis) {
         suspects.values().removeIf(suspect -> suspect.isExpired(nowMillis));
     }
 
-    /** Returns what was seen here since it was told last, to be told now; what is suspected most goes first. */
+    /** Returns the updates to be reported now, those with the most crashes first. */
     public List<Suspicion> pendingUpdates(long nowMillis) {
         List<Map.Entry<RequestFingerprint, Suspect>> unreported = new ArrayList<>();
-        for (Map.Entry<RequestFingerprint, Suspect> suspect : suspects.entrySet()) {
-            if (suspect.getValue().pendingReports > 0) {
-                unreported.add(suspect);
+        for (Map.Entry<RequestFingerprint, Suspect> entry : suspects.entrySet()) {
+            if (entry.getValue().pendingReports > 0) {
+                unreported.add(entry);
             }
         }
         unreported.sort(MOST_CRASHES_FIRST);
         List<Suspicion> updates = new ArrayList<>();
-        for (Map.Entry<RequestFingerprint, Suspect> suspect :
+        for (Map.Entry<RequestFingerprint, Suspect> entry :
                 unreported.subList(0, Math.min(MAX_UPDATES_PER_REPORT, unreported.size()))) {
-            suspect.getValue().pendingReports--;
-            updates.add(suspect.getValue().toSuspicion(suspect.getKey(), nowMillis));
+            entry.getValue().pendingReports--;
+            updates.add(entry.getValue().toSuspicion(entry.getKey(), nowMillis));
         }
         return updates;
     }
 
-    /**
-     * Returns a few of the requests that are held or were beside more than one end, each in its turn: whoever has started since,
-     * or was cut off, has to learn of them.
-     */
+    /** Returns the next suspects with several crashes or a quarantine, in rotation, for nodes that missed the updates. */
     public List<Suspicion> nextRefreshes(long nowMillis) {
         if (refreshQueue.isEmpty()) {
             suspects.forEach((request, suspect) -> {
--- a/core/src/main/java/org/tanagerhinge/core/attempt/RetryBudget.java
+++ b/core/src/main/java/org/tanagerhinge/core/attempt/RetryBudget.java
@@ -6,15 +6,13 @@
 import java.util.Map;
 
 /**
- * How many requests may be sent to a second backend server, for each class of requests (a service, a profile), in a sliding
- * window that all nodes share.
+ * Limits retries at other backend servers for each class of requests (a service or a profile) in a sliding window.
  *
- * <p>Answers the load pattern of a service whose servers all fail: retries would multiply the load just when there is
- * least room. Each node may spend a share of its own requests, and its part of a fixed slack. The nodes don't ask each
- * other: the sum of their parts is the whole budget.
+ * <p>It guards against retries multiplying the load when all servers of a service fail. The budget is shared by all
+ * nodes without coordination: each node may spend a ratio of its own requests and its part of a fixed slack.
  */
 public final class RetryBudget {
-    /** Part of the allowance that is used, so that windows of other nodes that lie a little apart don't exceed it. */
+    /** Fraction of the budget that is spent, so that windows that are not aligned between nodes do not exceed it. */
     private static final double USABLE_FRACTION = 0.85;
 
     private double ratio;
@@ -28,33 +26,34 @@
     }
 
     /**
-     * Returns a budget of which nothing is spent.
+     * Creates a budget of which nothing is spent.
      *
-     * @param ratio repeats for each request in a window
-     * @param slack repeats in a window besides, of all nodes together
+     * @param ratio retries for each request in a window
+     * @param slack retries in a window in addition, of all nodes together
+     * @param windowMillis length of the window
      */
     public static RetryBudget of(double ratio, double slack, long windowMillis) {
         return new RetryBudget(ratio, slack, windowMillis);
     }
 
-    /** Takes other terms from now on; what was spent before counts on. */
+    /** Changes the limits; retries already spent still count. */
     public final void setLimits(double newRatio, double newSlack, long newWindowMillis) {
         ratio = newRatio;
         slack = newSlack;
         windowMillis = newWindowMillis;
     }
 
-    /** Sets among how many nodes the slack is divided. */
+    /** Sets the number of nodes among which the slack is divided. */
     public void nodeCount(int count) {
         nodeCount = Math.max(1, count);
     }
 
-    /** Notes a request of a class. */
+    /** Records a request of a class. */
     public void recordRequest(String requestClass, long nowMillis) {
         window(requestClass, nowMillis).requests.add(nowMillis);
     }
 
-    /** Takes one repeat if there is one left. */
+    /** Takes one retry if the budget allows it; returns whether it does. */
     public boolean tryTake(String requestClass, long nowMillis) {
         Window window = window(requestClass, nowMillis);
         if (window.retries.size() + 1 > USABLE_FRACTION * (ratio * window.requests.size() + slack / nodeCount)) {
--- a/core/src/main/java/org/tanagerhinge/core/attempt/package-info.java
+++ b/core/src/main/java/org/tanagerhinge/core/attempt/package-info.java
@@ -1,2 +1,2 @@
-/** What a request's attempts at backend servers have in common, whichever interface it came through. */
+/** Attempts of requests at backend servers: history, limits, retry budget and quarantine, for all interfaces. */
 package org.tanagerhinge.core.attempt;
--- a/core/src/main/java/org/tanagerhinge/core/claim/RendezvousHash.java
+++ b/core/src/main/java/org/tanagerhinge/core/claim/RendezvousHash.java
@@ -5,7 +5,11 @@
 import java.util.List;
 import java.util.Optional;
 
-/** RendezvousHash (highest random weight) hashing: adding or taking away a choice moves only what falls to it. */
+/**
+ * Implements rendezvous (highest random weight) hashing.
+ *
+ * <p>Adding or removing a choice reassigns only the keys of that choice.
+ */
 public final class RendezvousHash {
     private static final long MIX_MULTIPLIER_1 = 0xbf58476d1ce4e5b9L;
     private static final long MIX_MULTIPLIER_2 = 0x94d049bb133111ebL;
@@ -14,12 +18,12 @@
 
     private RendezvousHash() {}
 
-    /** Returns the choice with the greatest weight for a key. */
+    /** Returns the choice with the highest weight for a key. */
     public static <T> Optional<T> first(String key, Collection<T> choices) {
         return choices.stream().max(byWeight(key));
     }
 
-    /** Returns the choices with the greatest weights for a key, the greatest first, at most so many. */
+    /** Returns up to the given number of choices with the highest weights for a key, the highest first. */
     public static <T> List<T> top(String key, Collection<T> choices, int maxCount) {
         return choices.stream().sorted(byWeight(key).reversed()).limit(maxCount).toList();
     }
@@ -29,7 +33,7 @@
                 .thenComparing(Object::toString);
     }
 
-    /** Returns a well-mixed hash of two texts, the same on every node and in every run. */
+    /** Returns a well-mixed hash of two texts that is the same on every node and in every run. */
     public static long weight(String key, String choice) {
         long hash = fnv1a(fnv1a(FNV_OFFSET, key), "\n");
         return mix(fnv1a(hash, choice));
--- a/core/src/main/java/org/tanagerhinge/core/claim/package-info.java
+++ b/core/src/main/java/org/tanagerhinge/core/claim/package-info.java
@@ -1,2 +1,2 @@
-/** Claims of callers' keys, and hashing that spreads work over servers. */
+/** Claims of idempotency keys, and rendezvous hashing. */
 package org.tanagerhinge.core.claim;
--- a/core/src/main/java/org/tanagerhinge/core/id/FailureDomain.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/FailureDomain.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.core.id;
 
-/** Names a failure domain: hosts that are expected to fail together. */
+/** Identifies a failure domain: hosts that are expected to fail together. */
 public record FailureDomain(String value) {
     public FailureDomain {
         IdSyntax.requireValid("failure domain", value);
--- a/core/src/main/java/org/tanagerhinge/core/id/KeyDigest.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/KeyDigest.java
@@ -6,7 +6,7 @@
 import java.util.HexFormat;
 
 /**
- * Identifies a caller's {@code Idempotency-Key} within its workspace and target without holding the key itself.
+ * Identifies a caller's {@code Idempotency-Key} within its workspace and target without containing the key.
  *
  * <p>The text is the first 128 bits, in hex, of the SHA-256 over workspace, target and key.
  */
@@ -25,7 +25,7 @@
             MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
             return HexFormat.of().formatHex(sha256.digest(text.getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every JDK has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available in this JDK", e);
         }
     }
 
--- a/core/src/main/java/org/tanagerhinge/core/id/ProfileName.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/ProfileName.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.core.id;
 
-/** Names a profile: the class of service that a caller picks for a request. */
+/** Identifies a profile: the class of service that a caller selects for a request. */
 public record ProfileName(String value) implements Comparable<ProfileName> {
     public ProfileName {
         IdSyntax.requireValid("profile", value);
--- a/core/src/main/java/org/tanagerhinge/core/id/RequestId.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/RequestId.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.core.id;
 
-/** Names one caller's request at the router that took it; unique among the requests of one router run. */
+/** Identifies a caller's request; unique within one run of the router that received it. */
 public record RequestId(String value) {
     /** Returns the id with the given text. */
     public static RequestId of(String value) {
--- a/core/src/main/java/org/tanagerhinge/core/id/RouterId.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/RouterId.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.core.id;
 
-/** Names one run of a router process: its configured name and the incarnation that tells restarts apart. */
+/** Identifies one run of a router process by its configured name and its incarnation. */
 public record RouterId(String name, long incarnation) {
     public RouterId {
         IdSyntax.requireValid("router", name);
--- a/core/src/main/java/org/tanagerhinge/core/id/ServerId.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/ServerId.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.core.id;
 
-/** Names a backend server and the agent in the slot beside it. */
+/** Identifies a backend server and its agent. */
 public record ServerId(String value) implements Comparable<ServerId> {
     public ServerId {
         IdSyntax.requireValid("backend server", value);
--- a/core/src/main/java/org/tanagerhinge/core/id/TargetName.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/TargetName.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.core.id;
 
-/** Names what a request is for: a model, or a plain service. */
+/** Identifies the target of a request: a model or a plain service. */
 public record TargetName(String value) implements Comparable<TargetName> {
     public TargetName {
         IdSyntax.requireValid("model or service", value);
--- a/core/src/main/java/org/tanagerhinge/core/id/WorkspaceId.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/WorkspaceId.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.core.id;
 
-/** Names a workspace: a customer of the shop, found from the bearer key of a call. */
+/** Identifies a workspace: a customer, determined from the bearer key of a request. */
 public record WorkspaceId(String value) implements Comparable<WorkspaceId> {
     public WorkspaceId {
         IdSyntax.requireValid("workspace", value);
--- a/core/src/main/java/org/tanagerhinge/core/id/package-info.java
+++ b/core/src/main/java/org/tanagerhinge/core/id/package-info.java
@@ -1,2 +1,2 @@
-/** Value types for the ids that the system's programs share. */
+/** Value types for identifiers shared by all modules. */
 package org.tanagerhinge.core.id;
--- a/core/src/main/java/org/tanagerhinge/core/text/NameSuggestion.java
+++ b/core/src/main/java/org/tanagerhinge/core/text/NameSuggestion.java
@@ -5,13 +5,13 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Finds the known name that a mistyped one was most likely meant to be. */
+/** Suggests the known name that is closest to a mistyped one. */
 public final class NameSuggestion {
     private static final int MAX_EDIT_DISTANCE = 3;
 
     private NameSuggestion() {}
 
-    /** Returns the closest known name by edit distance, if one is near enough to be worth suggesting. */
+    /** Returns the known name with the smallest edit distance, if it is close enough to suggest. */
     public static Optional<String> nearest(String typed, Collection<String> known) {
         String typedLowerCase = typed.toLowerCase(Locale.ROOT);
         return known.stream()
@@ -20,7 +20,7 @@
                 .min(Comparator.comparingInt(name -> editDistance(typedLowerCase, name.toLowerCase(Locale.ROOT))));
     }
 
-    /** Returns {@code ", did you mean 'x'?"} for the nearest known name, or an empty text. */
+    /** Returns {@code ", did you mean 'x'?"} for the closest known name, or an empty text if none is close enough. */
     public static String didYouMean(String typed, Collection<String> known) {
         return nearest(typed, known)
                 .map(name -> ", did you mean '" + name + "'?")
--- a/core/src/main/java/org/tanagerhinge/core/text/package-info.java
+++ b/core/src/main/java/org/tanagerhinge/core/text/package-info.java
@@ -1,2 +1,2 @@
-/** Help with texts that people type. */
+/** Hints for mistyped names. */
 package org.tanagerhinge.core.text;
--- a/core/src/main/java/org/tanagerhinge/core/time/SteadyClock.java
+++ b/core/src/main/java/org/tanagerhinge/core/time/SteadyClock.java
@@ -4,10 +4,10 @@
 import java.time.InstantSource;
 
 /**
- * A clock whose instants never go backwards within a process.
+ * Provides instants that never go backwards within a process.
  *
- * <p>It reads the wall clock once and then adds elapsed monotonic time. Were the wall clock used directly, a step back
- * of the host's time would show as deadlines that never pass and leases that never lapse.
+ * <p>It reads the wall clock once and then adds elapsed monotonic time. This guards against a backward step of the
+ * host's time, after which deadlines and leases would not expire.
  */
 public final class SteadyClock implements InstantSource {
     private final Instant startWallTime = Instant.now();
@@ -15,7 +15,7 @@
 
     private SteadyClock() {}
 
-    /** Returns a new clock that starts at the current wall-clock time. */
+    /** Creates a clock that starts at the current wall-clock time. */
     public static SteadyClock create() {
         return new SteadyClock();
     }
--- a/core/src/main/java/org/tanagerhinge/core/time/package-info.java
+++ b/core/src/main/java/org/tanagerhinge/core/time/package-info.java
@@ -1,2 +1,2 @@
-/** Clocks; the interface passed around is {@link java.time.InstantSource}. */
+/** Clocks that implement {@link java.time.InstantSource}. */
 package org.tanagerhinge.core.time;
--- a/core/src/test/java/org/tanagerhinge/core/attempt/RequestQuarantineTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/attempt/RequestQuarantineTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which requests are sent no more, as one node sees it and as nodes tell each other. */
+/** Guards against servers crashed repeatedly by one request, and against quarantining unrelated requests. */
 class RequestQuarantineTest {
     private static final long ONE_HOUR_MILLIS = 3_600_000;
 
@@ -29,14 +29,14 @@
         assertFalse(quarantine.recordCrash(request, "a@1", 0));
         assertFalse(quarantine.recordCrash(request, "b@1", 1_000));
         assertFalse(isQuarantined(quarantine, 1_000));
-        assertTrue(quarantine.recordCrash(request, "c@1", 2_000), "from now on");
+        assertTrue(quarantine.recordCrash(request, "c@1", 2_000), "newly quarantined");
         assertTrue(isQuarantined(quarantine, 2_000));
-        assertFalse(quarantine.recordCrash(request, "d@1", 2_001), "it was before");
+        assertFalse(quarantine.recordCrash(request, "d@1", 2_001), "already quarantined");
         assertTrue(
                 quarantine.remainingMillis(new RequestFingerprint(1, 8), 2_001).isEmpty());
     }
 
-    /** Two connections of a request and its repeat break as one server ends: that is one end. */
+    /** Two connections of a request and its retry break when one server crashes: that is one crash. */
     @Test
     void countsReportsOfOneCrashOnce() {
         for (int i = 0; i < 5; i++) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** It is back under its id, and its new life is known by its name only once the next list of servers has come. */
+    /** A restarted server may be reported under its old instance id until the next server list arrives. */
     @Test
     void countsLaterCrashOfTheSameServerSeparately() {
         RequestQuarantine other = RequestQuarantine.create();
@@ -55,7 +55,7 @@
         assertTrue(quarantine.recordCrash(request, "a", 20_000));
     }
 
-    /** Fetches of one workspace are all alike: some are in progress wherever a server ends, and most are served. */
+    /** Equal requests of a workspace are in flight on many servers, so some coincide with unrelated crashes. */
     @Test
     void completedRunClearsSuspicion() {
         quarantine.recordCrash(request, "a@1", 0);
@@ -96,7 +96,10 @@
         assertEquals(RequestQuarantine.MAX_SUSPECTS, quarantine.size());
         List<RequestQuarantine.Suspicion> updates = quarantine.pendingUpdates(ONE_HOUR_MILLIS / 60);
         assertEquals(RequestQuarantine.MAX_UPDATES_PER_REPORT, updates.size());
-        assertEquals(request, updates.get(0).request(), "what is suspected most goes first, and makes room last");
+        assertEquals(
+                request,
+                updates.get(0).request(),
+                "the suspect with the most crashes is reported first and evicted last");
         assertTrue(quarantine.nextRefreshes(0).size() <= RequestQuarantine.MAX_REFRESHES_PER_REPORT);
     }
 
@@ -107,7 +110,7 @@
             assertEquals(1, quarantine.pendingUpdates(0).size());
         }
         assertTrue(quarantine.pendingUpdates(0).isEmpty());
-        assertTrue(quarantine.nextRefreshes(0).isEmpty(), "one end alone is hardly a suspicion");
+        assertTrue(quarantine.nextRefreshes(0).isEmpty(), "a single crash is not refreshed");
         quarantine.recordCrash(request, "b@1", 0);
         for (int i = 0; i < 9; i++) {
             assertEquals(1, quarantine.nextRefreshes(0).size());
@@ -120,7 +123,7 @@
         quarantine.recordCrash(request, "a@1", 10_000);
         other.recordCrash(request, "b@1", 5_000);
         other.recordCrash(request, "a@1", 5_000);
-        // The nodes' clocks have nothing to do with each other: what is told is ages.
+        // The clocks of nodes differ, so reports contain ages.
         other.pendingUpdates(5_100).forEach(update -> assertFalse(quarantine.merge(update, 10_100)));
         assertFalse(isQuarantined(quarantine, 10_100));
         assertTrue(quarantine.recordCrash(request, "c@1", 10_200));
@@ -138,10 +141,10 @@
         assertEquals(
                 RequestQuarantine.QUARANTINE_MILLIS - 60_000,
                 laterNode.remainingMillis(request, 500).orElseThrow(),
-                "as long as for the one that saw it");
+                "same remaining time as at the reporting node");
     }
 
-    /** One node's server ran the request to its end while another node's ends were under way to it, and the other way round. */
+    /** A server may complete the request while reports of crashes from another node are under way. */
     @ParameterizedTest
     @CsvSource({"2000, false", "500, true"})
     void clearingOutweighsOnlyEarlierCrashes(long clearedAtMillis, boolean stillQuarantined) {
