--- a/wire/src/test/java/org/tanagerhinge/wire/LinkTest.java
+++ b/wire/src/test/java/org/tanagerhinge/wire/LinkTest.java
@@ -89,7 +89,7 @@
             assertEquals("up engine-1", router.nextEvent());
             assertEquals("up router-1", agent.nextEvent());
             router.link.send(new Frame.Cancel(3, true));
-            assertEquals("Cancel[attempt=3, runOn=true]", agent.nextEvent());
+            assertEquals("Cancel[attempt=3, continueRun=true]", agent.nextEvent());
         }
         assertEquals("down", agent.nextEvent());
     }
