--- a/core/src/main/java/org/tanagerhinge/core/relay/LaneDemand.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/LaneDemand.java
@@ -1,7 +1,8 @@
 package org.tanagerhinge.core.relay;
 
 /**
- * Demand of one node's callers for the engines of a service, split into requests with short and with long prompts.
+ * Describes the demand of one node's callers for the engines of a service, split into requests with short and with
+ * long prompts.
  *
  * @param shortInFlight short requests in flight
  * @param shortTokensPerSecond tokens to prefill for short requests, per second
--- a/core/src/main/java/org/tanagerhinge/core/relay/PeerReport.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PeerReport.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * State that another node reports about itself.
+ * Holds the state that another node reports about itself.
  *
  * @param incarnation differs after each restart of the node's process; not ordered, since the wall clock may step
  *     back between two starts
--- a/core/src/main/java/org/tanagerhinge/core/relay/PlacementPolicy.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PlacementPolicy.java
@@ -46,7 +46,7 @@
     default void updatePeerDemands(Map<String, LaneDemand> peerDemands) {}
 
     /**
-     * Result of a placement.
+     * Holds the result of a placement.
      *
      * @param tokensToPrefill prompt tokens that the server doesn't have cached
      * @param step step in the prefill order within the request's rank, 0 first
@@ -80,7 +80,7 @@
     }
 
     /**
-     * A prefix that a server should fetch from another one.
+     * Describes a prefix that a server should fetch from another one.
      *
      * @param tokens prompt tokens that the source has prefilled and the server lacks
      */
--- a/core/src/main/java/org/tanagerhinge/core/relay/PlacementRequest.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PlacementRequest.java
@@ -1,7 +1,7 @@
 package org.tanagerhinge.core.relay;
 
 /**
- * The properties of a request that a placement policy considers.
+ * Holds the properties of a request that a placement policy considers.
  *
  * @param domain failure domain of the sending node
  */
--- a/core/src/main/java/org/tanagerhinge/core/relay/Prompt.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/Prompt.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Description of a prompt as given by its request.
+ * Describes a prompt as its request states it.
  *
  * @param inputTokens size of the whole prompt, 0 if unknown
  * @param maxOutputTokens maximum number of tokens to generate, 0 if unknown
--- a/core/src/main/java/org/tanagerhinge/core/relay/PromptAwarePlacement.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PromptAwarePlacement.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * The default placement policy: chooses model engines by pending prefill and cached prefixes, in two lanes, and plain
- * servers by requests in flight.
+ * Chooses model engines by pending prefill and cached prefixes, in two lanes, and plain servers by requests in
+ * flight; this is the default policy.
  */
 public final class PromptAwarePlacement implements PlacementPolicy {
     /** Prefill rate assumed until one is measured, in tokens per millisecond. */
--- a/core/src/main/java/org/tanagerhinge/core/relay/PromptPart.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/PromptPart.java
@@ -1,4 +1,4 @@
 package org.tanagerhinge.core.relay;
 
-/** A part of a prompt that several requests may share, with its size in tokens. */
+/** Identifies a part of a prompt that several requests may share, with its size in tokens. */
 public record PromptPart(String id, int tokens) {}
--- a/core/src/main/java/org/tanagerhinge/core/relay/RelayConfig.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/RelayConfig.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 
-/** An immutable version of the operators' configuration, indexed for lookups. */
+/** Holds one immutable version of the operators' configuration, indexed for lookups. */
 public final class RelayConfig {
     private final long version;
     private final Map<String, Map<String, Route>> routes = new HashMap<>();
--- a/core/src/main/java/org/tanagerhinge/core/relay/Route.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/Route.java
@@ -4,7 +4,7 @@
 import org.tanagerhinge.core.attempt.AttemptLimits;
 
 /**
- * A route of the operators' configuration.
+ * Holds a route of the operators' configuration.
  *
  * @param host value of the Host header, in lower case, without port
  * @param pathPrefix begins and ends with a slash
--- a/core/src/main/java/org/tanagerhinge/core/relay/RouteKind.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/RouteKind.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.core.relay;
 
-/** Kind of a route's requests, which determines whether they may be retried. */
+/** Determines whether the requests of a route may be retried. */
 public enum RouteKind {
     /** Idempotent: may run more than once. */
     SAFE,
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServerChange.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerChange.java
@@ -1,7 +1,7 @@
 package org.tanagerhinge.core.relay;
 
 /**
- * A change in this node's list of backend servers.
+ * Describes a change in this node's list of backend servers.
  *
  * @param instanceId id of the server instance ({@link ServerRegistration#instanceId()})
  */
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServerDirectory.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerDirectory.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /**
- * The list of backend servers that this node knows.
+ * Tracks the backend servers that this node knows.
  *
  * <p>Membership follows the registrations in the platform's store: a server that is missing from a list is removed,
  * except right after an outage of the store. Registrations lapse during an outage although the servers run, and come
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServerRegistration.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServerRegistration.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 
 /**
- * Registration of a backend server in the platform's store.
+ * Holds the registration of a backend server in the platform's store.
  *
  * @param id name of the server; a restarted server has a new one, or the same one with another start time
  * @param startedAtMillis start of the server's process, in milliseconds since 1970; 0 if unknown
--- a/core/src/main/java/org/tanagerhinge/core/relay/ServiceConfig.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/ServiceConfig.java
@@ -1,7 +1,7 @@
 package org.tanagerhinge.core.relay;
 
 /**
- * Operators' configuration of a service.
+ * Holds the operators' configuration of a service.
  *
  * @param maxConnections connections that one backend server accepts from all callers combined
  * @param slots requests that a model engine runs at once; 0 for a plain service
--- a/core/src/main/java/org/tanagerhinge/core/relay/WeightedService.java
+++ b/core/src/main/java/org/tanagerhinge/core/relay/WeightedService.java
@@ -1,4 +1,4 @@
 package org.tanagerhinge.core.relay;
 
-/** A service and its weight in a route, relative to the other services of the route. */
+/** Assigns a service its weight in a route, relative to the other services of the route. */
 public record WeightedService(String service, int weight) {}
