--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
@@ -299,82 +299,87 @@
         }
 
         @Override
-        public void grantLease(long timeMillis, Consumer<CallOutcome<Long>> done) {
-            call(() -> run.store.lease(timeMillis), done);
+        public void grantLease(long ttlMillis, Consumer<CallOutcome<Long>> callback) {
+            call(() -> run.store.lease(ttlMillis), callback);
         }
 
         @Override
-        public void claim(String claim, long lease, List<String> holders, Consumer<CallOutcome<Boolean>> done) {
-            call(() -> run.store.claim(claim, lease, holders), done);
+        public void claim(
+                String claim, long leaseId, List<String> recentHolders, Consumer<CallOutcome<Boolean>> callback) {
+            call(() -> run.store.claim(claim, leaseId, recentHolders), callback);
         }
 
         @Override
-        public void renewLease(long lease, Consumer<CallOutcome<Boolean>> done) {
-            call(() -> run.store.renew(lease, DutyRun.LEASE_MILLIS), done);
+        public void renewLease(long leaseId, Consumer<CallOutcome<Boolean>> callback) {
+            call(() -> run.store.renew(leaseId, DutyRun.LEASE_MILLIS), callback);
         }
 
         @Override
-        public void revokeLease(long lease) {
+        public void revokeLease(long leaseId) {
             call(
                     () -> {
-                        run.store.endLease(lease);
+                        run.store.endLease(leaseId);
                         return true;
                     },
                     reply -> {});
         }
 
         @Override
-        public void readRecord(Consumer<CallOutcome<DutyRecord>> done) {
-            call(run.store::read, done);
+        public void readRecord(Consumer<CallOutcome<DutyRecord>> callback) {
+            call(run.store::read, callback);
         }
 
         @Override
-        public void commitUsage(long token, UsageCounts counts, long forget, Consumer<CallOutcome<CommitResult>> done) {
+        public void commitUsage(
+                long fencingToken,
+                UsageCounts counts,
+                long pruneThrough,
+                Consumer<CallOutcome<CommitResult>> callback) {
             if (run.bug == DeliberateBug.NO_FREEZE_OF_COUNTS) {
-                call(CommitResult.Committed::new, done);
+                call(CommitResult.Committed::new, callback);
                 return;
             }
             Function<UsageCounts, CommitResult> before = CommitResult.AlreadyCommitted::new;
             call(
-                    () -> run.store.stands(token)
-                            ? run.store.fix(counts, forget).map(before).orElseGet(CommitResult.Committed::new)
+                    () -> run.store.stands(fencingToken)
+                            ? run.store.fix(counts, pruneThrough).map(before).orElseGet(CommitResult.Committed::new)
                             : new CommitResult.NotHolder(),
-                    done);
+                    callback);
         }
 
         @Override
-        public void saveReports(long token, List<UsageReport> tally, Consumer<CallOutcome<Boolean>> done) {
+        public void saveReports(long fencingToken, List<UsageReport> reports, Consumer<CallOutcome<Boolean>> callback) {
             call(
                     () -> {
-                        boolean stands = run.store.stands(token);
+                        boolean stands = run.store.stands(fencingToken);
                         if (stands) {
-                            run.store.save(tally);
+                            run.store.save(reports);
                         }
                         return stands;
                     },
-                    done);
+                    callback);
         }
 
         @Override
-        public void release(long token, List<UsageReport> tally, Runnable done) {
+        public void release(long fencingToken, List<UsageReport> reports, Runnable callback) {
             call(
                     () -> {
-                        if (run.store.stands(token)) {
-                            run.store.save(tally);
+                        if (run.store.stands(fencingToken)) {
+                            run.store.save(reports);
                             run.store.release();
                         }
                         return true;
                     },
-                    reply -> done.run());
+                    reply -> callback.run());
         }
 
         @Override
-        public void reportUsage(long token, UsageCounts counts, Consumer<CallOutcome<ReportResult>> done) {
-            long sent = run.bug == DeliberateBug.NO_FENCE ? 1 : token;
-            if (!run.store.stands(token)) {
-                run.fail(name + " reports with token " + token + " though its lease has ended");
+        public void reportUsage(long fencingToken, UsageCounts counts, Consumer<CallOutcome<ReportResult>> callback) {
+            long sent = run.bug == DeliberateBug.NO_FENCE ? 1 : fencingToken;
+            if (!run.store.stands(fencingToken)) {
+                run.fail(name + " reports with token " + fencingToken + " though its lease has ended");
             }
-            Consumer<CallOutcome<ReportResult>> once = onceInTime(done);
+            Consumer<CallOutcome<ReportResult>> once = onceInTime(callback);
             UsageAddressModel address = run.address;
             if (address.down || address.cutOff.contains(name)) {
                 return;
@@ -396,28 +401,28 @@
     /** What happens to the duty, in the run's log. */
     private final class Notes implements DutyListener {
         @Override
-        public void dutyAcquired(long token) {
-            run.note(name + " holds with token " + token);
+        public void dutyAcquired(long fencingToken) {
+            run.note(name + " holds with token " + fencingToken);
         }
 
         @Override
-        public void dutyLost(long token, String why) {
-            run.note(name + " lost token " + token + ": " + why);
+        public void dutyLost(long fencingToken, String reason) {
+            run.note(name + " lost token " + fencingToken + ": " + reason);
         }
 
         @Override
-        public void usageCommitted(long token, UsageCounts counts, int heard, int known) {
-            run.note(name + " fixed " + counts + ", heard " + heard + " of " + known);
+        public void usageCommitted(long fencingToken, UsageCounts counts, int completeNodes, int knownNodes) {
+            run.note(name + " fixed " + counts + ", heard " + completeNodes + " of " + knownNodes);
         }
 
         @Override
-        public void usageReported(long token, UsageCounts counts, String outcome, long leaseLeftMillis) {
-            run.note(name + " reported window " + counts.window() + " with token " + token + ": " + outcome);
+        public void usageReported(long fencingToken, UsageCounts counts, String outcome, long remainingLeaseMillis) {
+            run.note(name + " reported window " + counts.window() + " with token " + fencingToken + ": " + outcome);
         }
 
         @Override
-        public void windowMissed(long window, String why) {
-            run.note(name + " missed window " + window + ": " + why);
+        public void windowMissed(long window, String reason) {
+            run.note(name + " missed window " + window + ": " + reason);
         }
     }
 }
