--- a/gateway/src/main/java/org/tanagerhinge/gateway/AttemptListener.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/AttemptListener.java
@@ -19,5 +19,5 @@
     void responseCompleted();
 
     /** Called when the attempt has failed. */
-    void attemptFailed(AttemptFailure end, String reason);
+    void attemptFailed(AttemptFailure failure, String reason);
 }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/BackendConnection.java
@@ -224,13 +224,13 @@
                 || message.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
     }
 
-    private void fail(AttemptFailure end, String reason) {
+    private void fail(AttemptFailure failure, String reason) {
         broken = true;
         AttemptListener listener = activeListener;
         activeListener = null;
         channel.close();
         if (listener != null) {
-            listener.attemptFailed(end, reason);
+            listener.attemptFailed(failure, reason);
         }
     }
 
@@ -275,7 +275,7 @@
         public void responseCompleted() {}
 
         @Override
-        public void attemptFailed(AttemptFailure end, String reason) {
+        public void attemptFailed(AttemptFailure failure, String reason) {
             broken.run();
         }
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/Gateway.java
@@ -416,10 +416,10 @@
         return nowMillis - lastSweepMillis < STALL_MILLIS && server.silenceMillis(nowMillis) > SILENT_SERVER_MILLIS;
     }
 
-    void attemptFailed(ServerInstance server, AttemptFailure end) {
-        count("attempt_" + end.name().toLowerCase(Locale.ROOT));
+    void attemptFailed(ServerInstance server, AttemptFailure failure) {
+        count("attempt_" + failure.name().toLowerCase(Locale.ROOT));
         boolean wasUsable = server.health().usable(nowMillis());
-        switch (end) {
+        switch (failure) {
             case NOT_SENT, SILENT -> server.health().recordUnreachable(nowMillis());
             case SERVER_ERROR, BROKEN, CUT -> server.health().recordFailure(nowMillis());
             case NOT_RUN, WRONG_SERVER -> {}
--- a/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/PeerCodec.java
@@ -136,8 +136,8 @@
         suspicion.clearedAgeMillis().ifPresent(age -> suspected.setClearedMillis((int) (age + 1)));
         suspicion
                 .crashes()
-                .forEach(end -> suspected.addEnds(
-                        ServerEnd.newBuilder().setServer(end.instanceHash()).setAgeMillis((int) end.ageMillis())));
+                .forEach(crash -> suspected.addEnds(
+                        ServerEnd.newBuilder().setServer(crash.instanceHash()).setAgeMillis((int) crash.ageMillis())));
         return suspected.build();
     }
 
@@ -145,7 +145,7 @@
         return new RequestQuarantine.Suspicion(
                 new RequestFingerprint(suspected.getWorkspace(), suspected.getContent()),
                 suspected.getEndsList().stream()
-                        .map(end -> new RequestQuarantine.CrashReport(end.getServer(), end.getAgeMillis()))
+                        .map(crash -> new RequestQuarantine.CrashReport(crash.getServer(), crash.getAgeMillis()))
                         .toList(),
                 suspected.getClearedMillis() == 0 ? Optional.empty() : Optional.of(suspected.getClearedMillis() - 1L),
                 suspected.getHeldMillis());
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayAttempt.java
@@ -276,23 +276,23 @@
     }
 
     @Override
-    public void attemptFailed(AttemptFailure end, String reason) {
-        fail(progress.headForwarded() && end == AttemptFailure.BROKEN ? AttemptFailure.CUT : end, reason);
+    public void attemptFailed(AttemptFailure failure, String reason) {
+        fail(progress.headForwarded() && failure == AttemptFailure.BROKEN ? AttemptFailure.CUT : failure, reason);
     }
 
     /** Fails the attempt but lets the connection discard the rest of the response and stay usable. */
-    private void failKeepingConnection(AttemptFailure end, String reason) {
+    private void failKeepingConnection(AttemptFailure failure, String reason) {
         connection.detach(() -> {});
-        fail(end, reason);
+        fail(failure, reason);
     }
 
-    private void fail(AttemptFailure end, String reason) {
+    private void fail(AttemptFailure failure, String reason) {
         if (finished) {
             return;
         }
         stopTracking();
         releaseBuffered();
-        exchange.attemptFailed(this, end, reason, retryBudgetTaken);
+        exchange.attemptFailed(this, failure, reason, retryBudgetTaken);
     }
 
     /** Cancels the attempt because its response is no longer needed. */
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
@@ -289,26 +289,26 @@
      * Retries a failed attempt or ends the exchange; {@code retryBudgetTaken} tells whether the budget was charged
      * already.
      */
-    void attemptFailed(RelayAttempt ended, AttemptFailure end, String reason, boolean retryBudgetTaken) {
-        history.recordEnd(end.mayHaveRun());
-        if (end.mayHaveRun()) {
+    void attemptFailed(RelayAttempt ended, AttemptFailure failure, String reason, boolean retryBudgetTaken) {
+        history.recordEnd(failure.mayHaveRun());
+        if (failure.mayHaveRun()) {
             markExecutionStarted();
         }
-        gateway.attemptFailed(ended.server(), end);
+        gateway.attemptFailed(ended.server(), failure);
         telemetry.attemptFailed(
-                end,
+                failure,
                 reason,
                 ended.startedAtMillis(),
                 progress,
-                end.connectionBroken() ? Optional.of(fingerprint()) : Optional.empty());
+                failure.connectionBroken() ? Optional.of(fingerprint()) : Optional.empty());
         attempt = null;
-        if (end.connectionBroken()) {
+        if (failure.connectionBroken()) {
             gateway.crashDetector().connectionBroke(ended.server(), fingerprint());
         }
-        boolean retry = history.mayRetry(end.mayHaveRun(), remainingMillis())
-                && (!end.mayHaveRun() || gateway.enabled(Mechanism.RETRIES))
+        boolean retry = history.mayRetry(failure.mayHaveRun(), remainingMillis())
+                && (!failure.mayHaveRun() || gateway.enabled(Mechanism.RETRIES))
                 && (!progress.headForwarded() || canResume())
-                && (retryBudgetTaken || !end.reachedServer() || gateway.budget().tryTake(service, gateway.nowMillis()));
+                && (retryBudgetTaken || !failure.reachedServer() || gateway.budget().tryTake(service, gateway.nowMillis()));
         if (retry) {
             telemetry.retried(progress.headForwarded(), progress);
             startAttempt();
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
@@ -79,7 +79,7 @@
 
     /** Logs a failed attempt; {@code suspect} holds the request's fingerprint if its connection broke. */
     void attemptFailed(
-            AttemptFailure end,
+            AttemptFailure failure,
             String reason,
             long startedAtMillis,
             ResponseProgress progress,
@@ -87,9 +87,9 @@
         LogLine line = logLine(LogEvent.ATTEMPT_FAILED, true)
                 .with(LogField.SERVER, server)
                 .with(LogField.ATTEMPT, attempts)
-                .with(LogField.END, end.name().toLowerCase(Locale.ROOT))
+                .with(LogField.END, failure.name().toLowerCase(Locale.ROOT))
                 .with(LogField.WHY, reason)
-                .with(LogField.RUN, end.mayHaveRun() ? "unknown" : "not_run")
+                .with(LogField.RUN, failure.mayHaveRun() ? "unknown" : "not_run")
                 .with(LogField.EVENT_ID, progress.lastEventId())
                 .with(LogField.MS, gateway.nowMillis() - startedAtMillis);
         suspect.ifPresent(fingerprint -> line.with(LogField.FINGERPRINT, fingerprint.toString()));
