--- a/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RelayExchange.java
@@ -308,7 +308,9 @@
         boolean retry = history.mayRetry(failure.mayHaveRun(), remainingMillis())
                 && (!failure.mayHaveRun() || gateway.enabled(Mechanism.RETRIES))
                 && (!progress.headForwarded() || canResume())
-                && (retryBudgetTaken || !failure.reachedServer() || gateway.budget().tryTake(service, gateway.nowMillis()));
+                && (retryBudgetTaken
+                        || !failure.reachedServer()
+                        || gateway.budget().tryTake(service, gateway.nowMillis()));
         if (retry) {
             telemetry.retried(progress.headForwarded(), progress);
             startAttempt();
