--- a/core/src/main/java/org/tanagerhinge/core/agent/AdmissionQueue.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/AdmissionQueue.java
@@ -68,7 +68,7 @@
     /** Returns the queued cost of each tier; index 0 is tier 1. */
     List<Long> costByTier() {
         long[] costs = new long[Profile.LOWEST_TIER];
-        classes.values().forEach(serviceClass -> costs[serviceClass.terms().tier() - 1] += serviceClass.cost());
+        classes.values().forEach(serviceClass -> costs[serviceClass.scheduling().tier() - 1] += serviceClass.cost());
         List<Long> result = new ArrayList<>(costs.length);
         for (long cost : costs) {
             result.add(cost);
@@ -85,7 +85,7 @@
         ServiceClassQueue serviceClass = classes.computeIfAbsent(
                 run.work().profile(),
                 name -> new ServiceClassQueue(name, run.work().scheduling()));
-        serviceClass.terms(run.work().scheduling());
+        serviceClass.scheduling(run.work().scheduling());
         Duration wait = throughput.queueWait(costAhead(run), serviceClass.cost(), serviceClass.shareFraction());
         if (wait.plus(throughput.runTime(run.cost())).compareTo(run.timeLeft(now)) > 0) {
             return new AdmissionResult.Rejected(ResultCode.DEADLINE_UNREACHABLE, wait);
@@ -145,7 +145,7 @@
 
     private void add(Run run, ServiceClassQueue serviceClass) {
         if (serviceClass.isEmpty()) {
-            serviceClass.catchUpTo(minVirtualTime(run.tier()));
+            serviceClass.catchUpTo(minNormalizedService(run.tier()));
         }
         serviceClass.add(run);
         evictionOrder.add(run);
@@ -156,10 +156,10 @@
         return run.work().call().body().length;
     }
 
-    private double minVirtualTime(int tier) {
+    private double minNormalizedService(int tier) {
         return classes.values().stream()
                 .filter(serviceClass ->
-                        !serviceClass.isEmpty() && serviceClass.terms().tier() == tier)
+                        !serviceClass.isEmpty() && serviceClass.scheduling().tier() == tier)
                 .mapToDouble(ServiceClassQueue::normalizedService)
                 .min()
                 .orElse(0);
@@ -172,7 +172,7 @@
     /** Returns the queued cost of a tier and all higher tiers. */
     private long costDownToTier(int tier) {
         return classes.values().stream()
-                .filter(serviceClass -> serviceClass.terms().tier() <= tier)
+                .filter(serviceClass -> serviceClass.scheduling().tier() <= tier)
                 .mapToLong(ServiceClassQueue::cost)
                 .sum();
     }
@@ -200,7 +200,7 @@
         return classes.values().stream()
                 .filter(serviceClass -> !serviceClass.isEmpty())
                 .min(Comparator.comparingInt((ServiceClassQueue serviceClass) ->
-                                serviceClass.terms().tier())
+                                serviceClass.scheduling().tier())
                         .thenComparingDouble(ServiceClassQueue::normalizedService))
                 .orElseThrow();
     }
@@ -210,11 +210,12 @@
         return classes.values().stream()
                 .filter(ServiceClassQueue::isOwed)
                 .max(Comparator.comparingInt(ServiceClassQueue::bypassCount)
-                        .thenComparing(serviceClass -> -serviceClass.terms().tier()));
+                        .thenComparing(
+                                serviceClass -> -serviceClass.scheduling().tier()));
     }
 
     private static ServiceClassQueue owedOrUrgent(ServiceClassQueue owed, ServiceClassQueue highest, Instant now) {
-        boolean urgent = highest.terms().tier() < owed.terms().tier()
+        boolean urgent = highest.scheduling().tier() < owed.scheduling().tier()
                 && highest.peek().timeLeft(now).compareTo(URGENT_TIME_LEFT) < 0;
         Instant yieldingSince = owed.yieldingSince();
         boolean mayYield =
--- a/core/src/main/java/org/tanagerhinge/core/agent/AgentCore.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/AgentCore.java
@@ -302,14 +302,14 @@
         reject(router, attach.attempt(), ResultCode.EVICTED, Duration.ZERO);
     }
 
-    private void onCancel(RouterId router, long attempt, boolean runOn) {
+    private void onCancel(RouterId router, long attempt, boolean continueRun) {
         Optional<Run> found = links.detach(router, attempt);
         if (found.isEmpty()) {
             return;
         }
         Run run = found.get();
         run.subscribers().removeIf(subscriber -> subscriber.router().equals(router) && subscriber.attempt() == attempt);
-        if (run.subscribers().isEmpty() && runOn && run.execution().isPresent()) {
+        if (run.subscribers().isEmpty() && continueRun && run.execution().isPresent()) {
             flowControl.resume(run);
         } else if (run.subscribers().isEmpty()) {
             if (run.stateMachine().isIn(RunState.RUNNING)) {
@@ -359,7 +359,7 @@
             return;
         }
         health.recordOutput();
-        long offset = run.producedUnits();
+        long offsetUnits = run.producedUnits();
         if (!run.isService()) {
             throughputMeter.recordOutput(units);
             concurrencyLimit.recordOutput(units);
@@ -373,7 +373,7 @@
                 throughputMeter.recordGap(gap, units);
             }
         });
-        emit(run, new Frame.Chunk(NO_ATTEMPT, offset, units, data));
+        emit(run, new Frame.Chunk(NO_ATTEMPT, offsetUnits, units, data));
         flowControl.update(run);
     }
 
--- a/core/src/main/java/org/tanagerhinge/core/agent/BackendHealth.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/BackendHealth.java
@@ -35,15 +35,15 @@
     }
 
     /**
-     * Records a failed run; returns whether the server went down by it.
+     * Records a failed run; returns whether it took the server down.
      *
-     * @param reached false if no connection to the server was made
+     * @param reachedBackend false if no connection to the server was made
      */
-    boolean recordFailure(boolean reached) {
+    boolean recordFailure(boolean reachedBackend) {
         consecutiveFailures++;
         suspect = true;
         boolean wasDown = isDown();
-        if (!reached || consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
+        if (!reachedBackend || consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
             stateMachine.fire(BackendEvent.FAIL);
         }
         return !wasDown && isDown();
--- a/core/src/main/java/org/tanagerhinge/core/agent/ExecutionTable.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/ExecutionTable.java
@@ -108,7 +108,7 @@
     /** Closes a generation, which has not started, so that it never will. */
     void close(Execution execution, Instant now) {
         Entry entry = entries.get(execution.digest());
-        boolean began = entry != null
+        boolean started = entry != null
                 && switch (entry.status) {
                     case Status.Completed completed -> true;
                     case Status.ResultUnavailable unavailable -> true;
@@ -116,7 +116,7 @@
                     case Status.Unseen unseen -> false;
                     case Status.Closed closed -> false;
                 };
-        monitor.check(Invariant.NOT_RUN_IS_TRUE, !began, () -> execution + " is closed although " + describe(entry));
+        monitor.check(Invariant.NOT_RUN_IS_TRUE, !started, () -> execution + " is closed although " + describe(entry));
         long generation = Math.max(execution.generation(), entry == null ? 0 : entry.generation);
         dropOutput(entry);
         entries.remove(execution.digest());
--- a/core/src/main/java/org/tanagerhinge/core/agent/ServiceClassQueue.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/ServiceClassQueue.java
@@ -46,12 +46,12 @@
 
     private final Map<WorkspaceId, WorkspaceQueue> queueByWorkspace = new HashMap<>();
     /** Virtual start times of workspaces whose queue ran empty while ahead of the others. */
-    private final Map<WorkspaceId, Double> virtualStartOfEmptied = new HashMap<>();
+    private final Map<WorkspaceId, Double> virtualStartWhenEmptied = new HashMap<>();
 
     private final TreeSet<WorkspaceQueue> byVirtualStart =
             new TreeSet<>(Comparator.comparingDouble((WorkspaceQueue queue) -> queue.virtualStart)
                     .thenComparing(queue -> queue.workspace));
-    private SchedulingParameters terms;
+    private SchedulingParameters scheduling;
     private double virtualTime;
     private double shareCredit;
     private double normalizedService;
@@ -60,21 +60,21 @@
     private int bypassCount;
     private Instant yieldingSince;
 
-    ServiceClassQueue(ProfileName name, SchedulingParameters terms) {
+    ServiceClassQueue(ProfileName name, SchedulingParameters scheduling) {
         this.name = name;
-        this.terms = terms;
+        this.scheduling = scheduling;
     }
 
     ProfileName name() {
         return name;
     }
 
-    SchedulingParameters terms() {
-        return terms;
+    SchedulingParameters scheduling() {
+        return scheduling;
     }
 
-    void terms(SchedulingParameters next) {
-        terms = next;
+    void scheduling(SchedulingParameters newScheduling) {
+        scheduling = newScheduling;
     }
 
     int size() {
@@ -91,14 +91,14 @@
     }
 
     double shareFraction() {
-        return Math.max(terms.sharePercent(), MIN_SHARE_PERCENT) / PERCENT;
+        return Math.max(scheduling.sharePercent(), MIN_SHARE_PERCENT) / PERCENT;
     }
 
     void add(Run run) {
         WorkspaceQueue queue = queueByWorkspace.get(run.work().workspace());
         if (queue == null) {
             double virtualStart = Math.max(
-                    virtualTime, virtualStartOfEmptied.getOrDefault(run.work().workspace(), 0.0));
+                    virtualTime, virtualStartWhenEmptied.getOrDefault(run.work().workspace(), 0.0));
             queue = new WorkspaceQueue(run.work().workspace(), virtualStart);
             queueByWorkspace.put(run.work().workspace(), queue);
             byVirtualStart.add(queue);
@@ -155,16 +155,16 @@
         if (queue.runs.isEmpty()) {
             queueByWorkspace.remove(queue.workspace);
             // A workspace that queues again at once must not lose the record of the service it just received.
-            virtualStartOfEmptied.put(queue.workspace, queue.virtualStart);
-            evictPassedStarts();
+            virtualStartWhenEmptied.put(queue.workspace, queue.virtualStart);
+            removeElapsedStarts();
         } else {
             byVirtualStart.add(queue);
         }
         return run;
     }
 
-    private void evictPassedStarts() {
-        virtualStartOfEmptied.values().removeIf(virtualStart -> virtualStart <= virtualTime);
+    private void removeElapsedStarts() {
+        virtualStartWhenEmptied.values().removeIf(virtualStart -> virtualStart <= virtualTime);
     }
 
     /** Removes a run; returns whether it was queued. */
--- a/core/src/main/java/org/tanagerhinge/core/agent/ThroughputEstimate.java
+++ b/core/src/main/java/org/tanagerhinge/core/agent/ThroughputEstimate.java
@@ -36,8 +36,8 @@
 
     /** Returns the time after which a rejected caller should retry, given the cost that must be served before. */
     Duration retryAfter(long cost) {
-        Duration drain = unitsPerSecond <= 0 ? MIN_RETRY_AFTER : boundedDuration(cost / unitsPerSecond);
-        return drain.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : drain;
+        Duration drainTime = unitsPerSecond <= 0 ? MIN_RETRY_AFTER : boundedDuration(cost / unitsPerSecond);
+        return drainTime.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : drainTime;
     }
 
     private static Duration boundedDuration(double seconds) {
--- a/core/src/test/java/org/tanagerhinge/core/agent/AdmissionQueueTest.java
+++ b/core/src/test/java/org/tanagerhinge/core/agent/AdmissionQueueTest.java
@@ -22,7 +22,7 @@
 class AdmissionQueueTest {
     private static final ThroughputEstimate UNMEASURED = new ThroughputEstimate(0, 0, 1);
 
-    private static AdmissionQueue queue(int maxRuns) {
+    private static AdmissionQueue newQueue(int maxRuns) {
         return new AdmissionQueue(maxRuns, 1 << 20, InvariantMonitor.strict());
     }
 
@@ -34,7 +34,7 @@
 
     @Test
     void dispatchesHigherTierFirst() {
-        AdmissionQueue queue = queue(10);
+        AdmissionQueue queue = newQueue(10);
         queue.offer(TestRuns.run("low", 5, 1, 10), TestRuns.NOW, UNMEASURED);
         queue.offer(TestRuns.run("high", 1, 1, 10), TestRuns.NOW, UNMEASURED);
         assertEquals("high", takeNextProfile(queue));
@@ -45,7 +45,7 @@
     @ParameterizedTest
     @CsvSource({"10, 10", "25, 10", "5, 40"})
     void lowerTierGetsItsShareDuringEndlessBurstOfHigherTier(double sharePercent, long cost) {
-        AdmissionQueue queue = queue(1000);
+        AdmissionQueue queue = newQueue(1000);
         Map<String, Long> servedCost = new HashMap<>();
         for (int i = 0; i < 400; i++) {
             queue.offer(TestRuns.run("burst", 1, 50, 10), TestRuns.NOW, UNMEASURED);
@@ -59,7 +59,7 @@
 
     @Test
     void fullQueueEvictsLatestRunOfLowestTier() {
-        AdmissionQueue queue = queue(2);
+        AdmissionQueue queue = newQueue(2);
         Run first = TestRuns.run("low", 5, 1, 10);
         Run second = TestRuns.run("low", 5, 1, 10);
         queue.offer(first, TestRuns.NOW, UNMEASURED);
@@ -74,7 +74,7 @@
     @ParameterizedTest
     @ValueSource(ints = {3, 4, 6})
     void fullQueueRejectsRunOfSameOrLowerTier(int tier) {
-        AdmissionQueue queue = queue(1);
+        AdmissionQueue queue = newQueue(1);
         queue.offer(TestRuns.run("mid", 3, 1, 10), TestRuns.NOW, UNMEASURED);
         AdmissionQueue.AdmissionResult offer =
                 queue.offer(TestRuns.run("other", tier, 1, 10), TestRuns.NOW, UNMEASURED);
@@ -86,7 +86,7 @@
 
     @Test
     void workspaceWithManyRunsDoesNotDelayWorkspaceWithOne() {
-        AdmissionQueue queue = queue(1000);
+        AdmissionQueue queue = newQueue(1000);
         for (int i = 0; i < 100; i++) {
             queue.offer(runOfWorkspace("large"), TestRuns.NOW, UNMEASURED);
         }
@@ -109,7 +109,7 @@
 
     @Test
     void rejectsRunThatCannotMeetItsDeadline() {
-        AdmissionQueue queue = queue(1000);
+        AdmissionQueue queue = newQueue(1000);
         ThroughputEstimate slow = new ThroughputEstimate(10, 10, 0);
         for (int i = 0; i < 10; i++) {
             queue.offer(TestRuns.run("chat", 2, 10, 100), TestRuns.NOW, UNMEASURED);
@@ -128,7 +128,7 @@
      */
     @Test
     void dispatchesRunThatMissedItsTargetLast() {
-        AdmissionQueue queue = queue(10);
+        AdmissionQueue queue = newQueue(10);
         Run old = TestRuns.run("chat", 2, 10, 10);
         queue.offer(old, TestRuns.NOW, UNMEASURED);
         Instant later = TestRuns.NOW.plus(TestRuns.START_TARGET).plusMillis(1);
@@ -143,7 +143,7 @@
      */
     @Test
     void fullClassEvictsLateRunForNewRun() {
-        AdmissionQueue queue = queue(2000);
+        AdmissionQueue queue = newQueue(2000);
         Run first = TestRuns.run("chat", 2, 10, 10);
         queue.offer(first, TestRuns.NOW, UNMEASURED);
         for (int i = 1; i < 1000; i++) {
@@ -166,7 +166,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void everyOfferedRunLeavesTheQueueExactlyOnce(long seed) {
         Random random = new Random(seed);
-        AdmissionQueue queue = queue(20);
+        AdmissionQueue queue = newQueue(20);
         Map<Long, Integer> exitsByRun = new HashMap<>();
         int offered = 0;
         for (int i = 0; i < 2000; i++) {
