--- a/core/src/main/java/org/tanagerhinge/core/duty/DutySettings.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutySettings.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * Settings of duties on one node.
+ * Holds the settings of duties on one node.
  *
  * @param node name of this node
  * @param leaseDuration time to live of the holder's lease
