--- a/core/src/main/java/org/tanagerhinge/core/duty/DutyElection.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/DutyElection.java
@@ -169,8 +169,8 @@
 
     private void startAttempt() {
         machine.fire(DutyEvent.ASK);
-        client.readRecord(inCurrentEpoch(reply -> {
-            switch (reply) {
+        client.readRecord(inCurrentEpoch(outcome -> {
+            switch (outcome) {
                 case CallOutcome.Completed<DutyRecord>(DutyRecord dutyRecord) -> {
                     if (dutyRecord.ownership().isPresent()) {
                         relinquish("held by " + dutyRecord.ownership().get().claim());
@@ -201,8 +201,8 @@
         long sentAtMillis = clock.steadyMillis();
         long sentClockOffsetMillis = clockOffsetMillis();
         long callEpoch = epoch;
-        client.grantLease(settings.leaseMillis(), reply -> {
-            if (reply instanceof CallOutcome.Completed<Long>(Long grantedLeaseId)) {
+        client.grantLease(settings.leaseMillis(), outcome -> {
+            if (outcome instanceof CallOutcome.Completed<Long>(Long grantedLeaseId)) {
                 if (callEpoch != epoch) {
                     client.revokeLease(grantedLeaseId);
                     return;
@@ -225,12 +225,12 @@
         holders.add(settings.node());
         List<String> newestHolders =
                 List.copyOf(holders.subList(Math.max(0, holders.size() - MAX_RECENT_HOLDERS), holders.size()));
-        client.claim(claim, claimLeaseId, newestHolders, reply -> {
+        client.claim(claim, claimLeaseId, newestHolders, outcome -> {
             if (callEpoch != epoch) {
                 client.revokeLease(claimLeaseId);
                 return;
             }
-            if (reply instanceof CallOutcome.Completed<Boolean>(Boolean written) && !written) {
+            if (outcome instanceof CallOutcome.Completed<Boolean>(Boolean written) && !written) {
                 abandonClaim("claim not written: another node holds the duty or the store rejected the write");
             } else {
                 machine.fire(DutyEvent.ASKED);
@@ -244,8 +244,8 @@
      * of the key as the fencing token. A claim that is executed later is still bounded by its lease.
      */
     private void confirmClaim(String claim) {
-        client.readRecord(inCurrentEpoch(reply -> {
-            switch (reply) {
+        client.readRecord(inCurrentEpoch(outcome -> {
+            switch (outcome) {
                 case CallOutcome.Completed<DutyRecord>(DutyRecord dutyRecord) -> {
                     Optional<DutyRecord.Ownership> ownClaim = dutyRecord
                             .ownership()
@@ -282,9 +282,9 @@
         renewalInFlight = true;
         long sentAtMillis = clock.steadyMillis();
         long sentClockOffsetMillis = clockOffsetMillis();
-        client.renewLease(leaseId, inCurrentEpoch(reply -> {
+        client.renewLease(leaseId, inCurrentEpoch(outcome -> {
             renewalInFlight = false;
-            switch (reply) {
+            switch (outcome) {
                 case CallOutcome.Completed<Boolean>(Boolean renewed) -> {
                     if (renewed) {
                         extendLease(sentAtMillis, sentClockOffsetMillis);
@@ -361,9 +361,9 @@
     /** Returns a callback that is ignored once the duty was lost or the node has stopped. */
     private <T> Consumer<CallOutcome<T>> inCurrentEpoch(Consumer<CallOutcome<T>> callback) {
         long callEpoch = epoch;
-        return reply -> {
+        return outcome -> {
             if (callEpoch == epoch) {
-                callback.accept(reply);
+                callback.accept(outcome);
             }
         };
     }
--- a/core/src/main/java/org/tanagerhinge/core/duty/UsageDuty.java
+++ b/core/src/main/java/org/tanagerhinge/core/duty/UsageDuty.java
@@ -228,12 +228,12 @@
         commitInFlight = true;
         long callEpoch = epoch;
         long pruneThrough = counts.window() - settings.retainedWindows();
-        client.commitUsage(election.fencingToken(), counts, pruneThrough, reply -> {
+        client.commitUsage(election.fencingToken(), counts, pruneThrough, outcome -> {
             if (callEpoch != epoch) {
                 return;
             }
             commitInFlight = false;
-            switch (reply) {
+            switch (outcome) {
                 case CallOutcome.Completed<DutyClient.CommitResult>(DutyClient.CommitResult.Committed committed) ->
                     onCommitted(counts);
                 case CallOutcome.Completed<DutyClient.CommitResult>(
@@ -269,25 +269,25 @@
         long callEpoch = epoch;
         long token = election.fencingToken();
         long sentAtMillis = clock.steadyMillis();
-        client.reportUsage(token, counts, reply -> {
-            if (reply instanceof CallOutcome.Unknown) {
+        client.reportUsage(token, counts, outcome -> {
+            if (outcome instanceof CallOutcome.Unknown) {
                 election.recordUnansweredCall(sentAtMillis);
             }
             if (callEpoch != epoch) {
                 return;
             }
             reportInFlight = false;
-            String outcome = switch (reply) {
+            String outcomeText = switch (outcome) {
                 case CallOutcome.Completed<DutyClient.ReportResult>(DutyClient.ReportResult result) -> result.name();
                 case CallOutcome.Unknown<DutyClient.ReportResult>(String reason) -> reason;
             };
-            listener.usageReported(token, counts, outcome, election.remainingLeaseMillis());
-            onReportOutcome(counts, reply);
+            listener.usageReported(token, counts, outcomeText, election.remainingLeaseMillis());
+            onReportOutcome(counts, outcome);
         });
     }
 
-    private void onReportOutcome(UsageCounts counts, CallOutcome<DutyClient.ReportResult> reply) {
-        switch (reply) {
+    private void onReportOutcome(UsageCounts counts, CallOutcome<DutyClient.ReportResult> outcome) {
+        switch (outcome) {
             case CallOutcome.Completed<DutyClient.ReportResult>(DutyClient.ReportResult result) -> {
                 switch (result) {
                     case ACCEPTED -> finishReport(counts);
@@ -324,12 +324,12 @@
         saveInFlight = true;
         nextSaveMillis = nowMillis + SAVE_INTERVAL_MILLIS;
         long callEpoch = epoch;
-        client.saveReports(election.fencingToken(), aggregator.snapshot(), reply -> {
+        client.saveReports(election.fencingToken(), aggregator.snapshot(), outcome -> {
             if (callEpoch != epoch) {
                 return;
             }
             saveInFlight = false;
-            if (reply instanceof CallOutcome.Completed<Boolean>(Boolean stillHolder) && !stillHolder) {
+            if (outcome instanceof CallOutcome.Completed<Boolean>(Boolean stillHolder) && !stillHolder) {
                 election.relinquish("ownership key is gone from the store or has another revision");
             }
         });
--- a/wire/src/main/java/org/tanagerhinge/wire/FrameDecoder.java
+++ b/wire/src/main/java/org/tanagerhinge/wire/FrameDecoder.java
@@ -95,7 +95,7 @@
     }
 
     private static Frame.Submit decodeSubmit(Submit submit) {
-        SchedulingParameters terms = new SchedulingParameters(
+        SchedulingParameters schedulingParameters = new SchedulingParameters(
                 submit.getTier(),
                 submit.getSharePercent(),
                 submit.getQueueBound(),
@@ -109,7 +109,7 @@
         WorkItem work = new WorkItem(
                 WorkspaceId.of(submit.getWorkspace()),
                 ProfileName.of(submit.getProfile()),
-                terms,
+                schedulingParameters,
                 TargetName.of(submit.getTarget()),
                 call,
                 submit.getPromptUnits());
