--- a/core/src/main/java/org/tanagerhinge/core/router/AnswerLengthEstimator.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/AnswerLengthEstimator.java
@@ -23,7 +23,7 @@
         private int count;
         private double meanLog;
 
-        void add(long units) {
+        void addSample(long units) {
             double log = Math.log(Math.max(1, units));
             count++;
             meanLog += (log - meanLog) * Math.max(SMOOTHING_FACTOR, 1.0 / count);
@@ -52,9 +52,9 @@
         return profileMean == null ? INITIAL_LENGTH_UNITS : profileMean.expectedUnits();
     }
 
-    void record(ProfileName profile, WorkspaceId workspace, long units) {
-        mean(profile, workspace.value()).add(units);
-        mean(profile, "").add(units);
+    void addSample(ProfileName profile, WorkspaceId workspace, long units) {
+        mean(profile, workspace.value()).addSample(units);
+        mean(profile, "").addSample(units);
     }
 
     private LogMean mean(ProfileName profile, String workspace) {
--- a/core/src/main/java/org/tanagerhinge/core/router/CrashAttribution.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/CrashAttribution.java
@@ -13,7 +13,8 @@
 import org.tanagerhinge.core.id.ServerId;
 
 /**
- * Attributes crashes of backend servers to the requests that were running there, and quarantines repeat offenders.
+ * Attributes crashes of backend servers to the requests that were running there, and quarantines requests with several
+ * crashes.
  *
  * <p>A failed run counts against its request only if the server's agent reports the server down shortly afterwards;
  * otherwise the server itself may be at fault.
--- a/core/src/main/java/org/tanagerhinge/core/router/Exchange.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/Exchange.java
@@ -312,14 +312,14 @@
     }
 
     /** Adds units that the caller consumed; returns all uncredited units once they reach the minimum, else zero. */
-    long creditDue(long units, long minUnits) {
+    long takeDueCredit(long units, long minUnits) {
         uncreditedUnits += units;
         if (uncreditedUnits < minUnits) {
             return 0;
         }
-        long due = uncreditedUnits;
+        long dueUnits = uncreditedUnits;
         uncreditedUnits = 0;
-        return due;
+        return dueUnits;
     }
 
     boolean headSent() {
--- a/core/src/main/java/org/tanagerhinge/core/router/ExchangeOutcome.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ExchangeOutcome.java
@@ -13,7 +13,7 @@
  * @param timeToFirstOutput time from arrival to the first output; zero if there was none
  * @param totalTime time from arrival to the end
  * @param units units delivered to the caller: tokens of a model, bytes of a plain service
- * @param attemptCount number of attempts that were sent
+ * @param attemptCount number of messages to agents that submitted the request or queried its outcome
  */
 public record ExchangeOutcome(
         RequestId request,
--- a/core/src/main/java/org/tanagerhinge/core/router/ExchangeTimeouts.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ExchangeTimeouts.java
@@ -29,7 +29,7 @@
                             RequestFailure.notRun(
                                     ResultCode.CLAIMS_UNSETTLED,
                                     RouterCore.DEFAULT_RETRY_AFTER,
-                                    "the platform's store did not decide the claim of the idempotency key before the deadline"));
+                                    "the store did not decide the claim of the key before the deadline"));
                 } else if (exchange.lastQueriedAt()
                         .plus(RouterCore.QUERY_RETRY_INTERVAL)
                         .isBefore(now)) {
--- a/core/src/main/java/org/tanagerhinge/core/router/IdempotencyClaims.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/IdempotencyClaims.java
@@ -49,18 +49,18 @@
                     RequestFailure.notRun(
                             ResultCode.CLAIMS_UNSETTLED,
                             RouterCore.DEFAULT_RETRY_AFTER,
-                            "the platform's store has not confirmed whether the idempotency key is in use; the request did not run"));
+                            "it is not known yet whether the idempotency key is in use; the request did not run"));
             return;
         }
         exchange.lastQueriedAt(now());
         exchanges.startClaim(exchange);
-        ClaimEntry wanted = ClaimEntry.requested(
+        ClaimEntry requested = ClaimEntry.requested(
                 exchange.keyDigest(),
                 exchange.request().bodyDigest(),
                 exchange.server(),
                 exchange.serverIncarnation(),
                 exchange.id());
-        port.claim(exchange.claimSequence(), wanted, exchange.expectedGeneration());
+        port.claim(exchange.claimSequence(), requested, exchange.expectedGeneration());
     }
 
     /** Handles the store's decision on a claim, or the lack of one. */
@@ -73,7 +73,7 @@
         Exchange exchange = found.get();
         switch (decision) {
             case ClaimDecision.Granted granted -> onGranted(exchange, granted.entry());
-            case ClaimDecision.HeldByOther held -> followHolder(exchange, held.entry());
+            case ClaimDecision.HeldByOther heldByOther -> followHolder(exchange, heldByOther.entry());
             case ClaimDecision.Unsettled unsettled -> port.countDecision("claim_unsettled");
         }
     }
--- a/core/src/main/java/org/tanagerhinge/core/router/LoadBalancer.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/LoadBalancer.java
@@ -106,7 +106,7 @@
                 : (service ? DEFAULT_STREAM_UNITS_PER_SECOND : DEFAULT_UNITS_PER_SECOND);
         double streamUnitsPerSecond =
                 load.streamUnitsPerSecond() > 0 ? load.streamUnitsPerSecond() : DEFAULT_STREAM_UNITS_PER_SECOND;
-        double queuedUnits = load.queuedUnitsAhead(exchange.profile().tier()) + view.unreportedCost();
+        double queuedUnits = load.queuedUnitsAhead(exchange.profile().tier()) + view.unreportedCostUnits();
         boolean atLimit = load.inFlight() + view.unreportedCount() >= load.concurrencyLimit();
         double slotWaitSeconds = atLimit ? load.runningUnits() / unitsPerSecond / Math.max(1, load.inFlight()) : 0;
         double queueSeconds = (atLimit ? queuedUnits / unitsPerSecond : 0) + slotWaitSeconds;
--- a/core/src/main/java/org/tanagerhinge/core/router/RouterCore.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/RouterCore.java
@@ -254,7 +254,7 @@
         }
         long minUnits =
                 exchange.request().kind() == ServerKind.MODEL ? MIN_MODEL_CREDIT_TOKENS : MIN_SERVICE_CREDIT_BYTES;
-        long creditUnits = exchange.creditDue(units, minUnits);
+        long creditUnits = exchange.takeDueCredit(units, minUnits);
         if (creditUnits > 0) {
             port.send(exchange.server(), new Frame.Credit(exchange.attemptNumber(), creditUnits));
         }
@@ -548,7 +548,8 @@
         exchanges.remove(exchange);
         workspaceLimiter.release(exchange.workspace(), exchange.profile());
         if (exchange.request().kind() == ServerKind.MODEL) {
-            answerLengths.record(exchange.profile().name(), exchange.workspace().id(), done.totalUnits());
+            answerLengths.addSample(
+                    exchange.profile().name(), exchange.workspace().id(), done.totalUnits());
         }
         port.complete(exchange.id(), done.finishReason(), done.totalUnits());
         port.exchangeEnded(outcome(exchange, ResultCode.OK, RunOutcome.COMPLETE));
--- a/core/src/main/java/org/tanagerhinge/core/router/ServerTable.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ServerTable.java
@@ -55,7 +55,7 @@
 
     /** Returns the linked servers of a kind that accept new work for a target. */
     List<ServerView> accepting(ServerKind kind, TargetName target) {
-        List<ServerView> accepting = new ArrayList<>();
+        List<ServerView> acceptingServers = new ArrayList<>();
         for (ServerView view : views.values()) {
             boolean serves =
                     view.server().kind() == kind && view.server().targets().contains(target);
@@ -63,10 +63,10 @@
                     && view.server().desiredState() == DesiredServerState.SERVING
                     && view.load().accepting();
             if (serves && takesWork) {
-                accepting.add(view);
+                acceptingServers.add(view);
             }
         }
-        return accepting;
+        return acceptingServers;
     }
 
     /** Returns the linked servers, grouped by the targets that they serve. */
--- a/core/src/main/java/org/tanagerhinge/core/router/ServerView.java
+++ b/core/src/main/java/org/tanagerhinge/core/router/ServerView.java
@@ -16,14 +16,14 @@
     /** Work sent this shortly before a report may be missing in it. */
     private static final Duration REPORT_LAG = Duration.ofMillis(10);
 
-    private record Submission(Instant at, long cost) {}
+    private record Submission(Instant sentAt, long costUnits) {}
 
     private final StateMachine<ServerState, ServerEvent> machine = CHART.newStateMachine();
     private final Deque<Submission> unreportedSubmissions = new ArrayDeque<>();
     private BackendServer server;
     private long incarnation;
     private AgentLoad load = AgentLoad.initial();
-    private long unreportedCost;
+    private long unreportedCostUnits;
     private Instant lastProbeAt = Instant.MIN;
     private Instant lastHeartbeatAt = Instant.MIN;
     private Instant lastUsedAt = Instant.MIN;
@@ -64,27 +64,27 @@
     void recordLoad(AgentLoad next, Instant now) {
         load = next;
         while (!unreportedSubmissions.isEmpty()
-                && unreportedSubmissions.peekFirst().at().plus(REPORT_LAG).isBefore(now)) {
-            unreportedCost -= unreportedSubmissions.pollFirst().cost();
+                && unreportedSubmissions.peekFirst().sentAt().plus(REPORT_LAG).isBefore(now)) {
+            unreportedCostUnits -= unreportedSubmissions.pollFirst().costUnits();
         }
     }
 
-    void recordSubmission(long cost, Instant now) {
-        unreportedSubmissions.addLast(new Submission(now, cost));
-        unreportedCost += cost;
+    void recordSubmission(long costUnits, Instant now) {
+        unreportedSubmissions.addLast(new Submission(now, costUnits));
+        unreportedCostUnits += costUnits;
     }
 
     /** Discards the state of the previous connection. */
     void resetConnectionState() {
         load = AgentLoad.initial();
         unreportedSubmissions.clear();
-        unreportedCost = 0;
+        unreportedCostUnits = 0;
         consecutiveSlowChecks = 0;
     }
 
-    /** Returns the cost in units of the work that is in no load report yet. */
-    long unreportedCost() {
-        return unreportedCost;
+    /** Returns the expected units of the work that is in no load report yet. */
+    long unreportedCostUnits() {
+        return unreportedCostUnits;
     }
 
     int unreportedCount() {
