--- a/cli/src/main/java/org/tanagerhinge/cli/CheckCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/CheckCommand.java
@@ -27,21 +27,21 @@
 
     @Override
     void run() throws TanagerhingeException {
-        String text = InputFile.read(file);
-        String as = kind != null ? kind : guess(text);
-        switch (as) {
+        String text = InputFile.readText(file);
+        String resolvedKind = kind != null ? kind : guessKind(text);
+        switch (resolvedKind) {
             case "router" -> Settings.load(Path.of(file), Map.of(), RouterSettings.all());
             case "agent" -> Settings.load(Path.of(file), Map.of(), AgentSettings.all());
             case "profiles" -> ConfigJson.parseProfiles(text);
             case "servers" -> ConfigJson.parseServers(text);
             default ->
                 throw new CommandFailedException(
-                        ExitCode.USAGE, "--as '" + as + "': expected router, agent, profiles or servers");
+                        ExitCode.USAGE, "--as '" + resolvedKind + "': expected router, agent, profiles or servers");
         }
-        out().println(file + ": ok (" + as + ")");
+        out().println(file + ": ok (" + resolvedKind + ")");
     }
 
-    private static String guess(String text) {
+    private static String guessKind(String text) {
         if (text.stripLeading().startsWith("{")) {
             return text.contains("\"servers\"") ? "servers" : "profiles";
         }
--- a/cli/src/main/java/org/tanagerhinge/cli/ExplainCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ExplainCommand.java
@@ -17,7 +17,7 @@
         if (number == null) {
             Table table = Table.of("CODE", "NAME", "HTTP", "RETRY", "MEANING");
             for (ResultCode code : ResultCode.values()) {
-                table.row(
+                table.addRow(
                         code.number(),
                         code.label(),
                         code.httpStatus(),
--- a/cli/src/main/java/org/tanagerhinge/cli/InputFile.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/InputFile.java
@@ -9,7 +9,7 @@
 final class InputFile {
     private InputFile() {}
 
-    static LogFile log(String name) throws CommandFailedException {
+    static LogFile readLog(String name) throws CommandFailedException {
         try {
             return LogFile.read(Path.of(name));
         } catch (IOException e) {
@@ -17,7 +17,7 @@
         }
     }
 
-    static String read(String file) throws CommandFailedException {
+    static String readText(String file) throws CommandFailedException {
         try {
             return Files.readString(Path.of(file));
         } catch (IOException e) {
--- a/cli/src/main/java/org/tanagerhinge/cli/Main.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/Main.java
@@ -23,14 +23,14 @@
             System.err.println("tanagerhinge: " + e.getMessage() + " (see tanagerhinge help)");
             return ExitCode.USAGE.number();
         }
-        if (command instanceof PlatformCommand ours) {
-            return runGuarded(ours);
+        if (command instanceof PlatformCommand platformCommand) {
+            return runCommand(platformCommand);
         }
         ((Help<?>) command).run();
         return ExitCode.OK.number();
     }
 
-    private static int runGuarded(PlatformCommand command) {
+    private static int runCommand(PlatformCommand command) {
         try {
             return command.call();
         } catch (IllegalArgumentException e) {
--- a/cli/src/main/java/org/tanagerhinge/cli/PlatformCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/PlatformCommand.java
@@ -16,8 +16,8 @@
 
 /** What the commands share: options, the connection to the platform's service, and how failures are told. */
 abstract class PlatformCommand implements Callable<Integer> {
-    private static final String PLATFORM_VARIABLE = "TANAGERHINGE_PLATFORM";
-    private static final Duration TIMEOUT = Duration.ofSeconds(3);
+    private static final String PLATFORM_URL_VARIABLE = "TANAGERHINGE_PLATFORM";
+    private static final Duration STORE_CALL_TIMEOUT = Duration.ofSeconds(3);
 
     @AirlineModule
     private HelpOption<PlatformCommand> help;
@@ -26,14 +26,14 @@
             name = {"--platform"},
             title = "URL",
             description = "Base URL of the platform's key-value service; else from TANAGERHINGE_PLATFORM")
-    private String platform;
+    private String platformUrl;
 
     @Option(
             name = {"--json"},
             description = "Print JSON for scripts instead of a table")
     private boolean json;
 
-    private HttpClient client;
+    private HttpClient sharedHttpClient;
 
     /** Does the command's work. */
     abstract void run() throws TanagerhingeException;
@@ -46,20 +46,20 @@
         return System.out;
     }
 
-    ConfigStore store() throws CommandFailedException {
-        String url = platform != null ? platform : System.getenv(PLATFORM_VARIABLE);
+    ConfigStore configStore() throws CommandFailedException {
+        String url = platformUrl != null ? platformUrl : System.getenv(PLATFORM_URL_VARIABLE);
         if (url == null) {
             throw new CommandFailedException(
-                    ExitCode.USAGE, "no platform service named: give --platform URL or set " + PLATFORM_VARIABLE);
+                    ExitCode.USAGE, "no platform service named: give --platform URL or set " + PLATFORM_URL_VARIABLE);
         }
-        return ConfigStore.in(EtcdStore.at(http(), url, TIMEOUT));
+        return ConfigStore.in(EtcdStore.at(httpClient(), url, STORE_CALL_TIMEOUT));
     }
 
-    HttpClient http() {
-        if (client == null) {
-            client = HttpClients.started("cli");
+    HttpClient httpClient() {
+        if (sharedHttpClient == null) {
+            sharedHttpClient = HttpClients.started("cli");
         }
-        return client;
+        return sharedHttpClient;
     }
 
     @Override
@@ -81,9 +81,9 @@
         }
     }
 
-    private static int fail(TanagerhingeException problem, ExitCode exitCode) {
+    private static int fail(TanagerhingeException failure, ExitCode exitCode) {
         PrintStream err = System.err;
-        err.println("tanagerhinge: " + problem.getMessage());
+        err.println("tanagerhinge: " + failure.getMessage());
         return exitCode.number();
     }
 }
--- a/cli/src/main/java/org/tanagerhinge/cli/ProfileCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ProfileCommands.java
@@ -27,7 +27,7 @@
     public static final class ListProfiles extends PlatformCommand {
         @Override
         void run() throws TanagerhingeException {
-            ProfilesDocument document = store().read().profiles();
+            ProfilesDocument document = configStore().read().profiles();
             if (json()) {
                 out().println(ConfigJson.render(document));
                 return;
@@ -35,7 +35,7 @@
             Table table = Table.of(
                     "PROFILE", "TIER", "IDEMPOTENT", "FIRST", "BETWEEN", "WHOLE", "FOR", "DEADLINE", "SHARE", "QUEUE");
             for (Profile profile : document.profiles()) {
-                table.row(
+                table.addRow(
                         profile.name(),
                         profile.tier(),
                         profile.idempotent() ? "yes" : "no",
@@ -62,7 +62,7 @@
 
         @Override
         void run() throws TanagerhingeException {
-            out().println(ConfigJson.render(find(store().read().profiles(), name)));
+            out().println(ConfigJson.render(findProfile(configStore().read().profiles(), name)));
         }
     }
 
@@ -80,11 +80,11 @@
 
         @Override
         void run() throws TanagerhingeException {
-            ProfilesDocument wanted = ConfigJson.parseProfiles(InputFile.read(file));
-            ConfigStore store = store();
+            ProfilesDocument desired = ConfigJson.parseProfiles(InputFile.readText(file));
+            ConfigStore store = configStore();
             ProfilesDocument before = store.read().profiles();
-            long base = wanted.revision() == 0 ? before.revision() : wanted.revision();
-            finish(this, store, before, wanted, store.editProfiles(base, current -> replace(current, wanted)));
+            long baseRevision = desired.revision() == 0 ? before.revision() : desired.revision();
+            reportEdit(this, store, before, desired, store.editProfiles(baseRevision, current -> withContentOf(current, desired)));
         }
     }
 
@@ -101,16 +101,16 @@
 
         @Override
         void run() throws TanagerhingeException {
-            ConfigStore store = store();
+            ConfigStore store = configStore();
             ProfilesDocument before = store.read().profiles();
-            Profile profile = find(before, arguments.get(0));
-            ProfilesDocument wanted = withFields(before, profile, arguments.subList(1, arguments.size()));
-            finish(
+            Profile profile = findProfile(before, arguments.get(0));
+            ProfilesDocument desired = withFields(before, profile, arguments.subList(1, arguments.size()));
+            reportEdit(
                     this,
                     store,
                     before,
-                    wanted,
-                    store.editProfiles(before.revision(), current -> replace(current, wanted)));
+                    desired,
+                    store.editProfiles(before.revision(), current -> withContentOf(current, desired)));
         }
     }
 
@@ -123,8 +123,8 @@
 
         @Override
         void run() throws TanagerhingeException {
-            ProfilesDocument wanted = ConfigJson.parseProfiles(InputFile.read(file));
-            List<String> lines = ProfileDiff.between(store().read().profiles(), wanted);
+            ProfilesDocument desired = ConfigJson.parseProfiles(InputFile.readText(file));
+            List<String> lines = ProfileDiff.between(configStore().read().profiles(), desired);
             lines.forEach(out()::println);
             if (lines.isEmpty()) {
                 out().println("no difference");
@@ -132,11 +132,11 @@
         }
     }
 
-    private static ProfilesDocument replace(ProfilesDocument current, ProfilesDocument wanted) {
-        return new ProfilesDocument(current.revision(), current.changeIds(), wanted.profiles(), wanted.workspaces());
+    private static ProfilesDocument withContentOf(ProfilesDocument current, ProfilesDocument desired) {
+        return new ProfilesDocument(current.revision(), current.changeIds(), desired.profiles(), desired.workspaces());
     }
 
-    private static Profile find(ProfilesDocument document, String name) throws CommandFailedException {
+    private static Profile findProfile(ProfilesDocument document, String name) throws CommandFailedException {
         List<String> names = document.profiles().stream()
                 .map(profile -> profile.name().value())
                 .toList();
@@ -148,17 +148,17 @@
                         "profile '" + name + "' does not exist" + NameSuggestion.didYouMean(name, names)));
     }
 
-    private static ProfilesDocument withFields(ProfilesDocument document, Profile profile, List<String> changes)
+    private static ProfilesDocument withFields(ProfilesDocument document, Profile profile, List<String> assignments)
             throws TanagerhingeException {
-        if (changes.isEmpty()) {
+        if (assignments.isEmpty()) {
             throw new CommandFailedException(ExitCode.USAGE, "expected FIELD=VALUE after the name of the profile");
         }
         try {
             ObjectNode root = (ObjectNode) MAPPER.readTree(ConfigJson.render(document));
             for (JsonNode node : root.path("profiles")) {
                 if (node.path("name").asText().equals(profile.name().value())) {
-                    for (String change : changes) {
-                        setField((ObjectNode) node, change);
+                    for (String assignment : assignments) {
+                        setField((ObjectNode) node, assignment);
                     }
                 }
             }
@@ -168,32 +168,32 @@
         }
     }
 
-    private static void setField(ObjectNode node, String change)
+    private static void setField(ObjectNode node, String assignment)
             throws CommandFailedException, JsonProcessingException {
-        int equals = change.indexOf('=');
-        if (equals <= 0) {
-            throw new CommandFailedException(ExitCode.USAGE, "'" + change + "': expected FIELD=VALUE");
+        int equalsIndex = assignment.indexOf('=');
+        if (equalsIndex <= 0) {
+            throw new CommandFailedException(ExitCode.USAGE, "'" + assignment + "': expected FIELD=VALUE");
         }
-        node.set(change.substring(0, equals), MAPPER.readTree(change.substring(equals + 1)));
+        node.set(assignment.substring(0, equalsIndex), MAPPER.readTree(assignment.substring(equalsIndex + 1)));
     }
 
-    private static void finish(
+    private static void reportEdit(
             PlatformCommand command,
             ConfigStore store,
             ProfilesDocument before,
-            ProfilesDocument wanted,
+            ProfilesDocument desired,
             ConfigStore.Edit edit)
             throws TanagerhingeException {
         switch (edit) {
             case ConfigStore.Edit.Accepted accepted -> {
-                ProfileDiff.between(before, wanted).forEach(command.out()::println);
+                ProfileDiff.between(before, desired).forEach(command.out()::println);
                 command.out().println("accepted as revision " + accepted.revision());
             }
             case ConfigStore.Edit.Conflict conflict -> {
-                ProfilesDocument now = store.read().profiles();
+                ProfilesDocument newest = store.read().profiles();
                 StringBuilder message = new StringBuilder("somebody else has edited the profiles: they are at revision "
-                        + now.revision() + "; nothing was changed. Your file against theirs:");
-                ProfileDiff.between(now, wanted)
+                        + newest.revision() + "; nothing was changed. Your file against theirs:");
+                ProfileDiff.between(newest, desired)
                         .forEach(line -> message.append("\n  ").append(line));
                 throw new CommandFailedException(ExitCode.CONFLICT, message.toString());
             }
--- a/cli/src/main/java/org/tanagerhinge/cli/ProfileDiff.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ProfileDiff.java
@@ -27,26 +27,26 @@
         before.profiles().forEach(profile -> names.add(profile.name()));
         after.profiles().forEach(profile -> names.add(profile.name()));
         for (ProfileName name : names) {
-            profileLines(name, before.profile(name), after.profile(name), lines);
+            addProfileLines(name, before.profile(name), after.profile(name), lines);
         }
         Set<WorkspaceId> ids = new LinkedHashSet<>();
         before.workspaces().forEach(workspace -> ids.add(workspace.id()));
         after.workspaces().forEach(workspace -> ids.add(workspace.id()));
         for (WorkspaceId id : ids) {
-            workspaceLines(id, before.workspace(id), after.workspace(id), lines);
+            addWorkspaceLines(id, before.workspace(id), after.workspace(id), lines);
         }
         return lines;
     }
 
-    private static void profileLines(
+    private static void addProfileLines(
             ProfileName name, Optional<Profile> before, Optional<Profile> after, List<String> lines) {
         if (before.isEmpty()) {
             lines.add("+ profile " + name);
         } else if (after.isEmpty()) {
             lines.add("- profile " + name);
         } else {
-            JsonNode left = tree(before.get());
-            JsonNode right = tree(after.get());
+            JsonNode left = jsonTree(before.get());
+            JsonNode right = jsonTree(after.get());
             left.fieldNames().forEachRemaining(field -> {
                 if (!left.path(field).equals(right.path(field))) {
                     lines.add("~ profile " + name + ": " + field + " " + left.path(field) + " -> " + right.path(field));
@@ -55,7 +55,7 @@
         }
     }
 
-    private static void workspaceLines(
+    private static void addWorkspaceLines(
             WorkspaceId id, Optional<Workspace> before, Optional<Workspace> after, List<String> lines) {
         if (before.isEmpty()) {
             lines.add("+ workspace " + id);
@@ -66,7 +66,7 @@
         }
     }
 
-    private static JsonNode tree(Profile profile) {
+    private static JsonNode jsonTree(Profile profile) {
         try {
             return JSON.readTree(ConfigJson.render(profile));
         } catch (JsonProcessingException e) {
--- a/cli/src/main/java/org/tanagerhinge/cli/ReportCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ReportCommand.java
@@ -16,13 +16,13 @@
 @Command(name = "report", description = "Draw what log files tell of a fleet into one page of HTML")
 public final class ReportCommand extends PlatformCommand {
     @Arguments(title = "FILE", description = "Logs of the processes that are to be shown")
-    private List<String> names = new ArrayList<>();
+    private List<String> logPaths = new ArrayList<>();
 
     @Option(
             name = {"--output"},
             title = "FILE",
             description = "Where the page is written; report.html if not given")
-    private String output = "report.html";
+    private String outputPath = "report.html";
 
     @Option(
             name = {"--title"},
@@ -31,22 +31,22 @@
 
     @Override
     void run() throws TanagerhingeException {
-        if (names.isEmpty()) {
+        if (logPaths.isEmpty()) {
             throw new CommandFailedException(ExitCode.USAGE, "report: expected one log file or more");
         }
-        List<LogFile> files = new ArrayList<>();
-        for (String name : names) {
-            files.add(InputFile.log(name));
+        List<LogFile> logs = new ArrayList<>();
+        for (String logPath : logPaths) {
+            logs.add(InputFile.readLog(logPath));
         }
-        String page = ReportPage.of(title.isEmpty() ? String.join(", ", names) : title, files)
+        String page = ReportPage.of(title.isEmpty() ? String.join(", ", logPaths) : title, logs)
                 .orElseThrow(() -> new CommandFailedException(
-                        ExitCode.INVALID, "no line tells of an event in " + String.join(", ", names)));
+                        ExitCode.INVALID, "no line tells of an event in " + String.join(", ", logPaths)));
         try {
-            Files.writeString(Path.of(output), page);
+            Files.writeString(Path.of(outputPath), page);
         } catch (IOException e) {
             throw new CommandFailedException(
-                    ExitCode.INVALID, "report '" + output + "' cannot be written: " + e.getMessage());
+                    ExitCode.INVALID, "report '" + outputPath + "' cannot be written: " + e.getMessage());
         }
-        out().println("wrote " + output);
+        out().println("wrote " + outputPath);
     }
 }
--- a/cli/src/main/java/org/tanagerhinge/cli/ServerCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ServerCommands.java
@@ -23,7 +23,7 @@
 
 /** The commands that list and mark backend servers. */
 final class ServerCommands {
-    private static final int TRIES = 5;
+    private static final int MAX_EDIT_ATTEMPTS = 5;
 
     private ServerCommands() {}
 
@@ -32,14 +32,14 @@
     public static final class ListServers extends PlatformCommand {
         @Override
         void run() throws TanagerhingeException {
-            ServersDocument document = store().read().servers();
+            ServersDocument document = configStore().read().servers();
             if (json()) {
                 out().println(ConfigJson.render(document));
                 return;
             }
             Table table = Table.of("SERVER", "MARK", "KIND", "SERVES", "DOMAIN", "AGENT");
             document.servers()
-                    .forEach(server -> table.row(
+                    .forEach(server -> table.addRow(
                             server.id(),
                             server.desiredState().label(),
                             server.kind().label(),
@@ -65,13 +65,13 @@
                 name = {"--agent"},
                 title = "IP:PORT",
                 description = "Where its agent listens; needed for a new server")
-        private String address;
+        private String agentAddress;
 
         @Option(
                 name = {"--domain"},
                 title = "NAME",
                 description = "Failure domain; needed for a new server")
-        private String domain;
+        private String failureDomain;
 
         @Option(
                 name = {"--kind"},
@@ -83,33 +83,33 @@
                 name = {"--serves"},
                 title = "NAMES",
                 description = "The models, or the plain service, that it serves, separated by commas")
-        private String targets;
+        private String servedTargets;
 
         @Override
         void run() throws TanagerhingeException {
-            ServerId server = ServerId.of(id);
-            boolean isNew = address != null || domain != null || targets != null;
-            if (isNew && (address == null || domain == null || targets == null)) {
+            ServerId serverId = ServerId.of(id);
+            boolean isNew = agentAddress != null || failureDomain != null || servedTargets != null;
+            if (isNew && (agentAddress == null || failureDomain == null || servedTargets == null)) {
                 throw new CommandFailedException(ExitCode.USAGE, "a new server needs --agent, --domain and --serves");
             }
             edit(
                     this,
-                    server,
+                    serverId,
                     document -> isNew
-                            ? document.withServer(newServer(server))
+                            ? document.withServer(newServer(serverId))
                             : document.withServer(
-                                    listed(document, server).withDesiredState(DesiredServerState.SERVING)));
+                                    requireListed(document, serverId).withDesiredState(DesiredServerState.SERVING)));
         }
 
-        private BackendServer newServer(ServerId server) {
-            Set<TargetName> served =
-                    Arrays.stream(targets.split(",")).map(TargetName::of).collect(Collectors.toSet());
+        private BackendServer newServer(ServerId serverId) {
+            Set<TargetName> targetNames =
+                    Arrays.stream(servedTargets.split(",")).map(TargetName::of).collect(Collectors.toSet());
             return new BackendServer(
-                    server,
-                    address,
-                    FailureDomain.of(domain),
+                    serverId,
+                    agentAddress,
+                    FailureDomain.of(failureDomain),
                     ServerKind.valueOf(kind.toUpperCase(Locale.ROOT)),
-                    served,
+                    targetNames,
                     DesiredServerState.SERVING);
         }
     }
@@ -123,7 +123,7 @@
 
         @Override
         void run() throws TanagerhingeException {
-            mark(this, id, DesiredServerState.LEAVING);
+            setDesiredState(this, id, DesiredServerState.LEAVING);
         }
     }
 
@@ -136,14 +136,14 @@
 
         @Override
         void run() throws TanagerhingeException {
-            mark(this, id, DesiredServerState.STOPPED);
+            setDesiredState(this, id, DesiredServerState.STOPPED);
         }
     }
 
-    private static void mark(PlatformCommand command, String id, DesiredServerState mark) throws TanagerhingeException {
-        ServerId server = ServerId.of(id);
-        ServersDocument current = command.store().read().servers();
-        if (current.server(server).isEmpty()) {
+    private static void setDesiredState(PlatformCommand command, String id, DesiredServerState desiredState) throws TanagerhingeException {
+        ServerId serverId = ServerId.of(id);
+        ServersDocument current = command.configStore().read().servers();
+        if (current.server(serverId).isEmpty()) {
             throw new CommandFailedException(
                     ExitCode.INVALID,
                     "backend server '" + id + "' is not listed"
@@ -155,24 +155,24 @@
         }
         edit(
                 command,
-                server,
-                document -> document.withServer(listed(document, server).withDesiredState(mark)));
+                serverId,
+                document -> document.withServer(requireListed(document, serverId).withDesiredState(desiredState)));
     }
 
-    private static BackendServer listed(ServersDocument document, ServerId id) {
+    private static BackendServer requireListed(ServersDocument document, ServerId id) {
         return document.server(id)
                 .orElseThrow(() -> new IllegalArgumentException(
                         "backend server '" + id + "' is not listed: a new one needs --agent, --domain and --serves"));
     }
 
     /** A mark touches one server only, so an edit that met another one is made again on top of it. */
-    private static void edit(PlatformCommand command, ServerId server, UnaryOperator<ServersDocument> change)
+    private static void edit(PlatformCommand command, ServerId serverId, UnaryOperator<ServersDocument> change)
             throws TanagerhingeException {
-        ConfigStore store = command.store();
-        for (int attempt = 0; attempt < TRIES; attempt++) {
-            long base = store.read().servers().revision();
-            if (tryEdit(store, base, change) instanceof ConfigStore.Edit.Accepted accepted) {
-                command.out().println(server + ": accepted as revision " + accepted.revision());
+        ConfigStore store = command.configStore();
+        for (int attempt = 0; attempt < MAX_EDIT_ATTEMPTS; attempt++) {
+            long baseRevision = store.read().servers().revision();
+            if (tryEdit(store, baseRevision, change) instanceof ConfigStore.Edit.Accepted accepted) {
+                command.out().println(serverId + ": accepted as revision " + accepted.revision());
                 return;
             }
         }
@@ -180,10 +180,10 @@
                 ExitCode.CONFLICT, "others keep editing the servers; nothing was changed, try again");
     }
 
-    private static ConfigStore.Edit tryEdit(ConfigStore store, long base, UnaryOperator<ServersDocument> change)
+    private static ConfigStore.Edit tryEdit(ConfigStore store, long baseRevision, UnaryOperator<ServersDocument> change)
             throws TanagerhingeException {
         try {
-            return store.editServers(base, change);
+            return store.editServers(baseRevision, change);
         } catch (IllegalArgumentException e) {
             throw new CommandFailedException(ExitCode.INVALID, e.getMessage());
         }
--- a/cli/src/main/java/org/tanagerhinge/cli/StatusCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/StatusCommand.java
@@ -15,18 +15,18 @@
 /** Prints what is in force and how the nodes are. */
 @Command(name = "status", description = "Show the configuration in force and the state of nodes")
 public final class StatusCommand extends PlatformCommand {
-    private static final int TIMEOUT_SECONDS = 2;
-    private static final int OK = 200;
+    private static final int HTTP_TIMEOUT_SECONDS = 2;
+    private static final int HTTP_OK = 200;
 
     @Option(
             name = {"--node"},
             title = "URL",
             description = "Base URL of a router's or agent's metrics; may be given again")
-    private List<String> nodes = new ArrayList<>();
+    private List<String> nodeUrls = new ArrayList<>();
 
     @Override
     void run() throws TanagerhingeException {
-        ClusterConfig config = store().read();
+        ClusterConfig config = configStore().read();
         long serving = config.servers().servers().stream()
                 .filter(server -> server.desiredState() == DesiredServerState.SERVING)
                 .count();
@@ -35,44 +35,44 @@
                 + config.profiles().workspaces().size() + " workspaces");
         out().println("servers   revision " + config.servers().revision() + ", " + serving + " of "
                 + config.servers().servers().size() + " serving");
-        if (nodes.isEmpty()) {
+        if (nodeUrls.isEmpty()) {
             return;
         }
         Table table = Table.of("NODE", "STATE", "REVISION", "LINKS", "QUEUED", "RUNNING", "LIMIT", "VIOLATIONS");
-        nodes.forEach(node -> table.row(row(node, config)));
+        nodeUrls.forEach(nodeUrl -> table.addRow(nodeRow(nodeUrl, config)));
         out().print(table);
     }
 
-    private Object[] row(String node, ClusterConfig config) {
-        String metrics = page(node + "/metrics");
+    private Object[] nodeRow(String nodeUrl, ClusterConfig config) {
+        String metrics = fetchBody(nodeUrl + "/metrics");
         if (metrics == null) {
-            return new Object[] {node, "UNREACHABLE", "-", "-", "-", "-", "-", "-"};
+            return new Object[] {nodeUrl, "UNREACHABLE", "-", "-", "-", "-", "-", "-"};
         }
-        String ready = page(node + "/readyz");
-        long profiles = value(metrics, "tanagerhinge_config_revision");
-        long servers = value(metrics, "tanagerhinge_servers_revision");
-        boolean behind = profiles < config.profiles().revision()
-                || servers < config.servers().revision();
-        long running =
-                Math.max(value(metrics, "tanagerhinge_in_flight"), value(metrics, "tanagerhinge_requests_in_progress"));
+        String readiness = fetchBody(nodeUrl + "/readyz");
+        long profilesRevision = metricValue(metrics, "tanagerhinge_config_revision");
+        long serversRevision = metricValue(metrics, "tanagerhinge_servers_revision");
+        boolean behind = profilesRevision < config.profiles().revision()
+                || serversRevision < config.servers().revision();
+        long inFlight =
+                Math.max(metricValue(metrics, "tanagerhinge_in_flight"), metricValue(metrics, "tanagerhinge_requests_in_progress"));
         return new Object[] {
-            node,
-            ready == null ? "NOT READY" : "ready",
-            profiles + "/" + servers + (behind ? " BEHIND" : ""),
-            value(metrics, "tanagerhinge_links"),
-            shown(value(metrics, "tanagerhinge_queue_length")),
-            shown(running),
-            shown(value(metrics, "tanagerhinge_concurrency_limit")),
-            violations(metrics)
+            nodeUrl,
+            readiness == null ? "NOT READY" : "ready",
+            profilesRevision + "/" + serversRevision + (behind ? " BEHIND" : ""),
+            metricValue(metrics, "tanagerhinge_links"),
+            formatValue(metricValue(metrics, "tanagerhinge_queue_length")),
+            formatValue(inFlight),
+            formatValue(metricValue(metrics, "tanagerhinge_concurrency_limit")),
+            violationCount(metrics)
         };
     }
 
-    private String page(String url) {
+    private String fetchBody(String url) {
         try {
-            ContentResponse response = http().newRequest(url)
-                    .timeout(TIMEOUT_SECONDS, TimeUnit.SECONDS)
+            ContentResponse response = httpClient().newRequest(url)
+                    .timeout(HTTP_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                     .send();
-            return response.getStatus() == OK ? response.getContentAsString() : null;
+            return response.getStatus() == HTTP_OK ? response.getContentAsString() : null;
         } catch (ExecutionException | TimeoutException e) {
             return null;
         } catch (InterruptedException e) {
@@ -81,11 +81,11 @@
         }
     }
 
-    private static String shown(long value) {
+    private static String formatValue(long value) {
         return value < 0 ? "-" : Long.toString(value);
     }
 
-    private static long value(String metrics, String name) {
+    private static long metricValue(String metrics, String name) {
         return metrics.lines()
                 .filter(line -> line.startsWith(name + " "))
                 .mapToLong(line -> (long) Double.parseDouble(line.substring(name.length() + 1)))
@@ -93,7 +93,7 @@
                 .orElse(-1);
     }
 
-    private static long violations(String metrics) {
+    private static long violationCount(String metrics) {
         return metrics.lines()
                 .filter(line ->
                         line.startsWith("tanagerhinge_invariant_checks_total") && line.contains("result=\"violated\""))
--- a/cli/src/main/java/org/tanagerhinge/cli/Table.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/Table.java
@@ -5,7 +5,7 @@
 
 /** Lines up rows in columns for people to read. */
 final class Table {
-    private static final String GAP = "  ";
+    private static final String COLUMN_GAP = "  ";
 
     private final List<List<String>> rows = new ArrayList<>();
 
@@ -15,7 +15,7 @@
         return table;
     }
 
-    void row(Object... cells) {
+    void addRow(Object... cells) {
         List<String> row = new ArrayList<>();
         for (Object cell : cells) {
             row.add(String.valueOf(cell));
@@ -37,7 +37,7 @@
             StringBuilder line = new StringBuilder();
             for (int i = 0; i < columns; i++) {
                 line.append(row.get(i));
-                line.append(" ".repeat(widths[i] - row.get(i).length())).append(GAP);
+                line.append(" ".repeat(widths[i] - row.get(i).length())).append(COLUMN_GAP);
             }
             out.append(line.toString().stripTrailing()).append('\n');
         }
--- a/cli/src/main/java/org/tanagerhinge/cli/TraceCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/TraceCommand.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import org.tanagerhinge.cli.trace.LogFile;
 import org.tanagerhinge.cli.trace.LogRecord;
-import org.tanagerhinge.cli.trace.Trace;
+import org.tanagerhinge.cli.trace.RequestTrace;
 import org.tanagerhinge.core.result.TanagerhingeException;
 
 /** Gathers what logs tell of one request. */
 @Command(name = "trace", description = "Gather one request's log lines from files, in order, and say how it ended")
 public final class TraceCommand extends PlatformCommand {
-    private static final int LEAST_ARGUMENTS = 2;
+    private static final int MIN_ARGUMENTS = 2;
 
     @Arguments(
             title = "ID FILE...",
@@ -23,30 +23,30 @@
     @Option(
             name = {"--alone"},
             description = "Leave out what the same processes came to believe of the servers while the request ran")
-    private boolean alone;
+    private boolean requestLinesOnly;
 
     @Override
     void run() throws TanagerhingeException {
-        if (arguments.size() < LEAST_ARGUMENTS) {
+        if (arguments.size() < MIN_ARGUMENTS) {
             throw new CommandFailedException(ExitCode.USAGE, "trace: expected a request's id and one log file or more");
         }
-        String id = arguments.get(0);
-        List<LogFile> files = new ArrayList<>();
-        for (String name : arguments.subList(1, arguments.size())) {
-            files.add(InputFile.log(name));
+        String requestId = arguments.get(0);
+        List<LogFile> logs = new ArrayList<>();
+        for (String logPath : arguments.subList(1, arguments.size())) {
+            logs.add(InputFile.readLog(logPath));
         }
-        Trace trace = Trace.of(id, files);
+        RequestTrace trace = RequestTrace.of(requestId, logs);
         if (trace.isEmpty()) {
             throw new CommandFailedException(
                     ExitCode.INVALID,
-                    "no line tells of request '" + id + "' in " + files.size() + " file(s) with " + trace.linesRead()
+                    "no line tells of request '" + requestId + "' in " + logs.size() + " file(s) with " + trace.lineCount()
                             + " lines" + trace.dropped());
         }
-        List<LogRecord> lines = alone ? trace.ofRequest() : trace.withBeliefs();
-        long from = lines.get(0).at();
-        lines.forEach(line -> out().println(json() ? line.text() : line.shown(from)));
+        List<LogRecord> lines = requestLinesOnly ? trace.requestLines() : trace.linesWithContext();
+        long startMillis = lines.get(0).wallClockMillis();
+        lines.forEach(line -> out().println(json() ? line.text() : line.format(startMillis)));
         if (!json()) {
-            out().println(trace.sentence());
+            out().println(trace.summary());
         }
     }
 }
--- a/cli/src/main/java/org/tanagerhinge/cli/WorkspaceCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/WorkspaceCommands.java
@@ -26,10 +26,10 @@
     public static final class ListWorkspaces extends PlatformCommand {
         @Override
         void run() throws TanagerhingeException {
-            ProfilesDocument document = store().read().profiles();
+            ProfilesDocument document = configStore().read().profiles();
             Table table = Table.of("WORKSPACE", "WEIGHT", "KEYS");
             document.workspaces()
-                    .forEach(workspace -> table.row(
+                    .forEach(workspace -> table.addRow(
                             workspace.id(),
                             workspace.weight(),
                             workspace.keySha256().size()));
@@ -54,13 +54,13 @@
         @Override
         void run() throws TanagerhingeException {
             WorkspaceId id = WorkspaceId.of(name);
-            byte[] random = new byte[KEY_BYTES];
-            new SecureRandom().nextBytes(random);
-            String key = "sk-" + HexFormat.of().formatHex(random);
-            ConfigStore store = store();
-            long base = store.read().profiles().revision();
+            byte[] keyBytes = new byte[KEY_BYTES];
+            new SecureRandom().nextBytes(keyBytes);
+            String key = "sk-" + HexFormat.of().formatHex(keyBytes);
+            ConfigStore store = configStore();
+            long baseRevision = store.read().profiles().revision();
             ConfigStore.Edit edit =
-                    store.editProfiles(base, current -> withKey(current, id, KeyDigest.sha256Hex(key), weight));
+                    store.editProfiles(baseRevision, current -> withKey(current, id, KeyDigest.sha256Hex(key), weight));
             if (edit instanceof ConfigStore.Edit.Accepted accepted) {
                 out().println(key);
                 System.err.println("accepted as revision " + accepted.revision());
@@ -71,12 +71,12 @@
         }
     }
 
-    private static ProfilesDocument withKey(ProfilesDocument document, WorkspaceId id, String hash, double weight) {
+    private static ProfilesDocument withKey(ProfilesDocument document, WorkspaceId id, String keyDigest, double weight) {
         List<Workspace> workspaces = new ArrayList<>(document.workspaces());
         List<String> keys = new ArrayList<>();
         document.workspace(id).ifPresent(existing -> keys.addAll(existing.keySha256()));
         workspaces.removeIf(workspace -> workspace.id().equals(id));
-        keys.add(hash);
+        keys.add(keyDigest);
         workspaces.add(new Workspace(id, keys, weight));
         return new ProfilesDocument(document.revision(), document.changeIds(), document.profiles(), workspaces);
     }
--- a/cli/src/main/java/org/tanagerhinge/cli/report/ReportData.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/report/ReportData.java
@@ -23,11 +23,11 @@
  */
 final class ReportData {
     /** Longest time that a page shows: longer ones are read in parts. */
-    private static final int MOST_SECONDS = 3_600;
+    private static final int MAX_SPAN_SECONDS = 3_600;
     /** Longest time to a first event that is told apart, in milliseconds. */
-    private static final long MOST_FIRST_MILLIS = 600_000;
+    private static final long MAX_FIRST_EVENT_MILLIS = 600_000;
     /** Characters of a refusal's reason by which reasons are told apart; numbers in them differ from request to request. */
-    private static final int REASON = 40;
+    private static final int MAX_REASON_LENGTH = 40;
 
     /** How a request ended. */
     enum Outcome {
@@ -35,7 +35,7 @@
         LATE("late"),
         REFUSED("refused"),
         BROKEN("cut off"),
-        LEFT("left by the caller");
+        ABANDONED("left by the caller");
 
         private final String label;
 
@@ -49,18 +49,18 @@
     }
 
     /** Something that a process came to believe or did, and on how many hosts within one second. */
-    record Happening(int second, String what, int hosts) {}
+    record FleetEvent(int second, String description, int hostCount) {}
 
     private final Map<Outcome, Timeline> outcomes = new LinkedHashMap<>();
     private final Map<Integer, Histogram> firstEvents = new TreeMap<>();
-    private final Map<String, Timeline> readingByServer = new TreeMap<>();
-    private final Map<String, Timeline> runningByServer = new TreeMap<>();
-    private final Map<String, Timeline> listAgeByNode = new TreeMap<>();
+    private final Map<String, Timeline> tokensToPrefillByServer = new TreeMap<>();
+    private final Map<String, Timeline> inFlightByServer = new TreeMap<>();
+    private final Map<String, Timeline> serverListAgeByNode = new TreeMap<>();
     private final Map<String, Integer> refusals = new TreeMap<>();
-    private final Map<Integer, Map<String, Set<String>>> happenings = new TreeMap<>();
-    private final Timeline fetched = Timeline.empty();
-    private int lines;
-    private int leftOut;
+    private final Map<Integer, Map<String, Set<String>>> fleetEvents = new TreeMap<>();
+    private final Timeline fetchedTokens = Timeline.empty();
+    private int lineCount;
+    private int excludedLineCount;
 
     private ReportData() {
         for (Outcome outcome : Outcome.values()) {
@@ -69,59 +69,59 @@
     }
 
     /** Returns what logs come to; nothing if no line tells of an event. */
-    static Optional<ReportData> of(List<LogFile> files) {
+    static Optional<ReportData> of(List<LogFile> logs) {
         List<LogRecord> records = new ArrayList<>();
-        files.forEach(file -> records.addAll(file.records()));
+        logs.forEach(log -> records.addAll(log.records()));
         if (records.isEmpty()) {
             return Optional.empty();
         }
-        long[] times = records.stream().mapToLong(LogRecord::at).sorted().toArray();
-        long middle = times[times.length / 2];
-        long reach = MOST_SECONDS * 1000L / 2;
-        long from = middle;
-        for (long time : times) {
-            if (time >= middle - reach) {
-                from = time;
+        long[] timesMillis = records.stream().mapToLong(LogRecord::wallClockMillis).sorted().toArray();
+        long medianMillis = timesMillis[timesMillis.length / 2];
+        long halfSpanMillis = MAX_SPAN_SECONDS * 1000L / 2;
+        long startMillis = medianMillis;
+        for (long timeMillis : timesMillis) {
+            if (timeMillis >= medianMillis - halfSpanMillis) {
+                startMillis = timeMillis;
                 break;
             }
         }
         ReportData data = new ReportData();
         for (LogRecord record : records) {
-            long second = Math.floorDiv(record.at() - from, 1000L);
-            if (second < 0 || second >= MOST_SECONDS) {
-                data.leftOut++;
+            long second = Math.floorDiv(record.wallClockMillis() - startMillis, 1000L);
+            if (second < 0 || second >= MAX_SPAN_SECONDS) {
+                data.excludedLineCount++;
             } else {
-                data.lines++;
-                data.take(record, (int) second);
+                data.lineCount++;
+                data.addRecord(record, (int) second);
             }
         }
         return Optional.of(data);
     }
 
-    private void take(LogRecord line, int second) {
-        LogEvent event = event(line);
+    private void addRecord(LogRecord line, int second) {
+        LogEvent event = eventOf(line);
         if (event == null) {
             return;
         }
         switch (event) {
-            case ENDED -> ended(line, second);
-            case REFUSED -> refused(line, second);
+            case ENDED -> addEnded(line, second);
+            case REFUSED -> addRefused(line, second);
             case CUT -> outcomes.get(Outcome.BROKEN).add(second, 1);
-            case CALLER_GONE -> outcomes.get(Outcome.LEFT).add(second, 1);
-            case SENT -> sent(line, second);
+            case CALLER_GONE -> outcomes.get(Outcome.ABANDONED).add(second, 1);
+            case SENT -> addSent(line, second);
             case ROUTED ->
-                listAgeByNode
+                serverListAgeByNode
                         .computeIfAbsent(line.node(), node -> Timeline.empty())
-                        .atLeast(second, line.number(LogField.SERVERS_AGE_MS));
+                        .raiseTo(second, line.number(LogField.SERVERS_AGE_MS));
             default -> {
                 if (!line.has(LogField.ID)) {
-                    happened(line, second);
+                    addFleetEvent(line, second);
                 }
             }
         }
     }
 
-    private static LogEvent event(LogRecord line) {
+    private static LogEvent eventOf(LogRecord line) {
         for (LogEvent event : LogEvent.values()) {
             if (event.label().equals(line.event())) {
                 return event;
@@ -130,59 +130,59 @@
         return null;
     }
 
-    private void ended(LogRecord line, int second) {
+    private void addEnded(LogRecord line, int second) {
         boolean late = line.text(LogField.LATE).equals("true");
         outcomes.get(late ? Outcome.LATE : Outcome.ON_TIME).add(second, 1);
         if (line.has(LogField.FIRST_MS)) {
             firstEvents
-                    .computeIfAbsent(second, key -> new Histogram(MOST_FIRST_MILLIS, 2))
-                    .recordValue(Math.min(MOST_FIRST_MILLIS, Math.max(0, line.number(LogField.FIRST_MS))));
+                    .computeIfAbsent(second, key -> new Histogram(MAX_FIRST_EVENT_MILLIS, 2))
+                    .recordValue(Math.min(MAX_FIRST_EVENT_MILLIS, Math.max(0, line.number(LogField.FIRST_MS))));
         }
     }
 
-    private void refused(LogRecord line, int second) {
+    private void addRefused(LogRecord line, int second) {
         outcomes.get(Outcome.REFUSED).add(second, 1);
         int code = (int) line.number(LogField.CODE);
         String meaning = ResultCode.ofNumber(code).map(ResultCode::meaning).orElse("unknown code");
-        String why = line.text(LogField.WHY).replaceAll("[0-9]+", "N");
-        String reason = why.isEmpty() ? meaning : meaning + ": " + why.substring(0, Math.min(REASON, why.length()));
+        String details = line.text(LogField.WHY).replaceAll("[0-9]+", "N");
+        String reason = details.isEmpty() ? meaning : meaning + ": " + details.substring(0, Math.min(MAX_REASON_LENGTH, details.length()));
         refusals.merge(code + " " + reason, 1, Integer::sum);
     }
 
-    private void sent(LogRecord line, int second) {
+    private void addSent(LogRecord line, int second) {
         String server = line.text(LogField.SERVER);
-        readingByServer.computeIfAbsent(server, id -> Timeline.empty()).atLeast(second, line.number(LogField.READING));
-        runningByServer.computeIfAbsent(server, id -> Timeline.empty()).atLeast(second, line.number(LogField.RUNNING));
-        fetched.add(second, line.number(LogField.FETCH));
+        tokensToPrefillByServer.computeIfAbsent(server, id -> Timeline.empty()).raiseTo(second, line.number(LogField.READING));
+        inFlightByServer.computeIfAbsent(server, id -> Timeline.empty()).raiseTo(second, line.number(LogField.RUNNING));
+        fetchedTokens.add(second, line.number(LogField.FETCH));
     }
 
-    private void happened(LogRecord line, int second) {
+    private void addFleetEvent(LogRecord line, int second) {
         String server = line.text(LogField.SERVER);
-        String why = line.text(LogField.WHY);
-        StringBuilder what = new StringBuilder(line.event());
+        String details = line.text(LogField.WHY);
+        StringBuilder description = new StringBuilder(line.event());
         if (!server.isEmpty()) {
-            what.append(' ').append(server);
+            description.append(' ').append(server);
         }
         if (line.has(LogField.CONFIG)) {
-            what.append(" version ").append(line.number(LogField.CONFIG));
+            description.append(" version ").append(line.number(LogField.CONFIG));
         }
         // The address that a process listens at differs on each host, and says nothing of what happened.
-        if (!why.isEmpty() && event(line) != LogEvent.STARTED) {
-            what.append(": ").append(why);
+        if (!details.isEmpty() && eventOf(line) != LogEvent.STARTED) {
+            description.append(": ").append(details);
         }
-        happenings
+        fleetEvents
                 .computeIfAbsent(second, key -> new TreeMap<>())
-                .computeIfAbsent(what.toString(), key -> new LinkedHashSet<>())
+                .computeIfAbsent(description.toString(), key -> new LinkedHashSet<>())
                 .add(line.node());
     }
 
-    int lines() {
-        return lines;
+    int lineCount() {
+        return lineCount;
     }
 
     /** Returns how many lines were left out, since their time is far from that of the others. */
-    int leftOut() {
-        return leftOut;
+    int excludedLineCount() {
+        return excludedLineCount;
     }
 
     Map<Outcome, Timeline> outcomes() {
@@ -195,33 +195,33 @@
     }
 
     /** Returns the most prompt tokens that a server was believed to have still to read, by second. */
-    Map<String, Timeline> readingByServer() {
-        return readingByServer;
+    Map<String, Timeline> tokensToPrefillByServer() {
+        return tokensToPrefillByServer;
     }
 
     /** Returns the most requests that a server was believed to have, by second. */
-    Map<String, Timeline> runningByServer() {
-        return runningByServer;
+    Map<String, Timeline> inFlightByServer() {
+        return inFlightByServer;
     }
 
     /** Returns the greatest age of the list of servers that a host decided on, by second, in milliseconds. */
-    Map<String, Timeline> listAgeByNode() {
-        return listAgeByNode;
+    Map<String, Timeline> serverListAgeByNode() {
+        return serverListAgeByNode;
     }
 
     /** Returns the prompt tokens that servers were told to fetch from others, by second. */
-    Timeline fetched() {
-        return fetched;
+    Timeline fetchedTokens() {
+        return fetchedTokens;
     }
 
     Map<String, Integer> refusals() {
         return refusals;
     }
 
-    List<Happening> happenings() {
-        List<Happening> list = new ArrayList<>();
-        happenings.forEach((second, inSecond) ->
-                inSecond.forEach((what, hosts) -> list.add(new Happening(second, what, hosts.size()))));
-        return list;
+    List<FleetEvent> fleetEvents() {
+        List<FleetEvent> events = new ArrayList<>();
+        fleetEvents.forEach((second, hostsByDescription) ->
+                hostsByDescription.forEach((description, hosts) -> events.add(new FleetEvent(second, description, hosts.size()))));
+        return events;
     }
 }
--- a/cli/src/main/java/org/tanagerhinge/cli/report/ReportPage.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/report/ReportPage.java
@@ -8,7 +8,7 @@
 /** A page of HTML that needs nothing beside it: plots, and a table of what happened when. */
 public final class ReportPage {
     /** Rows of the table at the most: a fleet that starts tells more than anybody reads. */
-    private static final int MOST_ROWS = 400;
+    private static final int MAX_EVENT_ROWS = 400;
 
     private static final String STYLE = "body{font:15px/1.45 system-ui,sans-serif;max-width:960px;margin:2em auto;"
             + "padding:0 1em;color:#1f2933}h1{font-size:1.5em}h2{font-size:1.1em;margin:1.8em 0 .3em}"
@@ -18,87 +18,87 @@
     private ReportPage() {}
 
     /** Returns the page of some logs; nothing if no line of theirs tells of an event. */
-    public static Optional<String> of(String title, List<LogFile> files) {
-        return ReportData.of(files).map(data -> page(title, data));
+    public static Optional<String> of(String title, List<LogFile> logs) {
+        return ReportData.of(logs).map(data -> render(title, data));
     }
 
-    private static String page(String title, ReportData data) {
+    private static String render(String title, ReportData data) {
         StringBuilder html = new StringBuilder("<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">");
-        html.append("<title>").append(escaped(title)).append("</title><style>").append(STYLE);
-        html.append("</style></head><body>\n<h1>").append(escaped(title)).append("</h1>\n<p>");
-        html.append(data.lines()).append(" lines; seconds count from the first of them.");
-        if (data.leftOut() > 0) {
-            html.append(' ').append(data.leftOut()).append(" lines of clocks that are far off are left out.");
+        html.append("<title>").append(escapeHtml(title)).append("</title><style>").append(STYLE);
+        html.append("</style></head><body>\n<h1>").append(escapeHtml(title)).append("</h1>\n<p>");
+        html.append(data.lineCount()).append(" lines; seconds count from the first of them.");
+        if (data.excludedLineCount() > 0) {
+            html.append(' ').append(data.excludedLineCount()).append(" lines of clocks that are far off are left out.");
         }
-        html.append("</p>\n").append(totals(data));
-        section(html, "How requests ended", "By the second of their last line.", Plots.outcomes(data));
-        section(
+        html.append("</p>\n").append(outcomeTotals(data));
+        appendSection(html, "How requests ended", "By the second of their last line.", ReportPlots.outcomes(data));
+        appendSection(
                 html,
                 "First events",
                 "Streams that ended in each second, by the time to their first event.",
-                Plots.firstEvents(data));
-        section(
+                ReportPlots.firstEvents(data));
+        appendSection(
                 html,
                 "Prompts to be read",
                 "As hosts believed when they sent there: the mean server and the one with most.",
-                Plots.reading(data));
-        section(html, "Requests at servers", "As hosts believed when they sent there.", Plots.running(data));
-        section(html, "Fetched in place of read", "Prompt tokens taken from another server.", Plots.fetched(data));
-        section(html, "Refusals by reason", "Numbers within reasons are shown as N.", Plots.refusals(data));
-        section(
+                ReportPlots.tokensToPrefill(data));
+        appendSection(html, "Requests at servers", "As hosts believed when they sent there.", ReportPlots.inFlight(data));
+        appendSection(html, "Fetched in place of read", "Prompt tokens taken from another server.", ReportPlots.fetchedTokens(data));
+        appendSection(html, "Refusals by reason", "Numbers within reasons are shown as N.", ReportPlots.refusals(data));
+        appendSection(
                 html,
                 "Age of the list of servers",
                 "On which hosts decided: the mean host and the one with the oldest.",
-                Plots.listAge(data));
-        happenings(html, data);
+                ReportPlots.serverListAge(data));
+        appendFleetEvents(html, data);
         return html.append("</body></html>\n").toString();
     }
 
-    private static String totals(ReportData data) {
+    private static String outcomeTotals(ReportData data) {
         StringBuilder html = new StringBuilder("<table><tr>");
         data.outcomes()
                 .keySet()
                 .forEach(outcome ->
-                        html.append("<th>").append(escaped(outcome.label())).append("</th>"));
+                        html.append("<th>").append(escapeHtml(outcome.label())).append("</th>"));
         html.append("</tr><tr>");
         data.outcomes().values().forEach(timeline -> {
             double sum = 0;
             for (int second = 0; second < timeline.length(); second++) {
-                sum += timeline.at(second);
+                sum += timeline.valueAt(second);
             }
             html.append(String.format(Locale.ROOT, "<td>%.0f</td>", sum));
         });
         return html.append("</tr></table>\n").toString();
     }
 
-    private static void section(StringBuilder html, String title, String text, String plot) {
+    private static void appendSection(StringBuilder html, String title, String caption, String plot) {
         html.append("<h2>")
-                .append(escaped(title))
+                .append(escapeHtml(title))
                 .append("</h2>\n<p>")
-                .append(escaped(text))
+                .append(escapeHtml(caption))
                 .append("</p>\n");
         html.append(plot).append('\n');
     }
 
-    private static void happenings(StringBuilder html, ReportData data) {
-        List<ReportData.Happening> all = data.happenings();
+    private static void appendFleetEvents(StringBuilder html, ReportData data) {
+        List<ReportData.FleetEvent> events = data.fleetEvents();
         html.append("<h2>What happened when</h2>\n<table><tr><th>second</th><th>what</th><th>hosts</th></tr>\n");
-        all.stream()
-                .limit(MOST_ROWS)
+        events.stream()
+                .limit(MAX_EVENT_ROWS)
                 .forEach(row -> html.append("<tr><td>")
                         .append(row.second())
                         .append("</td><td>")
-                        .append(escaped(row.what()))
+                        .append(escapeHtml(row.description()))
                         .append("</td><td>")
-                        .append(row.hosts())
+                        .append(row.hostCount())
                         .append("</td></tr>\n"));
         html.append("</table>\n");
-        if (all.size() > MOST_ROWS) {
-            html.append("<p>").append(all.size() - MOST_ROWS).append(" more rows are left out.</p>\n");
+        if (events.size() > MAX_EVENT_ROWS) {
+            html.append("<p>").append(events.size() - MAX_EVENT_ROWS).append(" more rows are left out.</p>\n");
         }
     }
 
-    private static String escaped(String text) {
+    private static String escapeHtml(String text) {
         return text.replace("&", "&amp;")
                 .replace("<", "&lt;")
                 .replace(">", "&gt;")
--- a/cli/src/main/java/org/tanagerhinge/cli/report/Plots.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/report/ReportPlots.java
@@ -24,63 +24,63 @@
 import org.jfree.svg.SVGGraphics2D;
 
 /** Draws what logs come to, each plot as SVG text. */
-final class Plots {
+final class ReportPlots {
     private static final int WIDTH = 920;
     private static final int HEIGHT = 260;
     /** Height of a bar with its label. */
-    private static final int BAR = 26;
+    private static final int BAR_HEIGHT = 26;
     /** Reasons of refusals that are drawn; the rarer ones would make the others unreadable. */
-    private static final int MOST_REASONS = 12;
+    private static final int MAX_REASONS = 12;
 
-    private static final List<Color> COLOURS = List.of(
+    private static final List<Color> SERIES_COLOURS = List.of(
             new Color(0x2b7a3f), new Color(0xe08e0b), new Color(0xb3261e), new Color(0x6a4c93), new Color(0x6b7280));
 
-    private Plots() {}
+    private ReportPlots() {}
 
     static String outcomes(ReportData data) {
-        XYSeriesCollection lines = new XYSeriesCollection();
-        data.outcomes().forEach((outcome, timeline) -> lines.addSeries(series(outcome.label(), timeline)));
-        return lines(lines, "requests a second");
+        XYSeriesCollection dataset = new XYSeriesCollection();
+        data.outcomes().forEach((outcome, timeline) -> dataset.addSeries(series(outcome.label(), timeline)));
+        return lineChart(dataset, "requests a second");
     }
 
     static String firstEvents(ReportData data) {
-        XYSeriesCollection lines = new XYSeriesCollection();
+        XYSeriesCollection dataset = new XYSeriesCollection();
         for (int percentile : new int[] {50, 95}) {
             XYSeries series = new XYSeries(percentile + " in 100 within");
             for (Map.Entry<Integer, Histogram> second : data.firstEvents().entrySet()) {
                 series.add(second.getKey().doubleValue(), second.getValue().getValueAtPercentile(percentile));
             }
-            lines.addSeries(series);
+            dataset.addSeries(series);
         }
-        return lines(lines, "ms");
+        return lineChart(dataset, "ms");
     }
 
-    static String reading(ReportData data) {
-        return meanAndMost(data.readingByServer().values(), "tokens");
+    static String tokensToPrefill(ReportData data) {
+        return meanAndMaximum(data.tokensToPrefillByServer().values(), "tokens");
     }
 
-    static String running(ReportData data) {
-        return meanAndMost(data.runningByServer().values(), "requests");
+    static String inFlight(ReportData data) {
+        return meanAndMaximum(data.inFlightByServer().values(), "requests");
     }
 
-    static String listAge(ReportData data) {
-        return meanAndMost(data.listAgeByNode().values(), "ms");
+    static String serverListAge(ReportData data) {
+        return meanAndMaximum(data.serverListAgeByNode().values(), "ms");
     }
 
-    static String fetched(ReportData data) {
-        XYSeriesCollection lines = new XYSeriesCollection();
-        lines.addSeries(series("fetched", data.fetched()));
-        return lines(lines, "tokens a second");
+    static String fetchedTokens(ReportData data) {
+        XYSeriesCollection dataset = new XYSeriesCollection();
+        dataset.addSeries(series("fetched", data.fetchedTokens()));
+        return lineChart(dataset, "tokens a second");
     }
 
     static String refusals(ReportData data) {
-        DefaultCategoryDataset bars = new DefaultCategoryDataset();
+        DefaultCategoryDataset dataset = new DefaultCategoryDataset();
         data.refusals().entrySet().stream()
                 .sorted(Map.Entry.<String, Integer>comparingByValue(Comparator.reverseOrder()))
-                .limit(MOST_REASONS)
-                .forEach(reason -> bars.addValue(reason.getValue(), "refusals", reason.getKey()));
+                .limit(MAX_REASONS)
+                .forEach(reason -> dataset.addValue(reason.getValue(), "refusals", reason.getKey()));
         JFreeChart chart = ChartFactory.createBarChart(
-                null, null, "refusals", bars, PlotOrientation.HORIZONTAL, false, false, false);
+                null, null, "refusals", dataset, PlotOrientation.HORIZONTAL, false, false, false);
         CategoryPlot plot = chart.getCategoryPlot();
         plot.setBackgroundPaint(Color.WHITE);
         plot.setRangeGridlinePaint(Color.LIGHT_GRAY);
@@ -88,33 +88,33 @@
         BarRenderer renderer = (BarRenderer) plot.getRenderer();
         renderer.setBarPainter(new StandardBarPainter());
         renderer.setShadowVisible(false);
-        renderer.setSeriesPaint(0, COLOURS.get(2));
-        return svg(chart, 70 + BAR * Math.max(1, bars.getColumnCount()));
+        renderer.setSeriesPaint(0, SERIES_COLOURS.get(2));
+        return renderSvg(chart, 70 + BAR_HEIGHT * Math.max(1, dataset.getColumnCount()));
     }
 
     /** Draws the mean of timelines in each second, and the largest. */
-    private static String meanAndMost(Collection<Timeline> timelines, String unit) {
+    private static String meanAndMaximum(Collection<Timeline> timelines, String unit) {
         int length = timelines.stream().mapToInt(Timeline::length).max().orElse(0);
-        XYSeriesCollection lines = new XYSeriesCollection();
-        lines.addSeries(series(
+        XYSeriesCollection dataset = new XYSeriesCollection();
+        dataset.addSeries(series(
                 "mean",
                 length,
                 second -> timelines.stream()
-                        .mapToDouble(timeline -> timeline.at(second))
+                        .mapToDouble(timeline -> timeline.valueAt(second))
                         .average()
                         .orElse(0)));
-        lines.addSeries(series(
+        dataset.addSeries(series(
                 "most",
                 length,
                 second -> timelines.stream()
-                        .mapToDouble(timeline -> timeline.at(second))
+                        .mapToDouble(timeline -> timeline.valueAt(second))
                         .max()
                         .orElse(0)));
-        return lines(lines, unit);
+        return lineChart(dataset, unit);
     }
 
     private static XYSeries series(String name, Timeline timeline) {
-        return series(name, timeline.length(), timeline::at);
+        return series(name, timeline.length(), timeline::valueAt);
     }
 
     private static XYSeries series(String name, int length, IntToDoubleFunction values) {
@@ -125,23 +125,23 @@
         return series;
     }
 
-    private static String lines(XYSeriesCollection lines, String unit) {
+    private static String lineChart(XYSeriesCollection dataset, String unit) {
         JFreeChart chart = ChartFactory.createXYLineChart(
-                null, "second", unit, lines, PlotOrientation.VERTICAL, true, false, false);
+                null, "second", unit, dataset, PlotOrientation.VERTICAL, true, false, false);
         XYPlot plot = chart.getXYPlot();
         plot.setBackgroundPaint(Color.WHITE);
         plot.setDomainGridlinePaint(Color.LIGHT_GRAY);
         plot.setRangeGridlinePaint(Color.LIGHT_GRAY);
         XYLineAndShapeRenderer renderer = new XYLineAndShapeRenderer(true, false);
-        for (int i = 0; i < lines.getSeriesCount(); i++) {
-            renderer.setSeriesPaint(i, COLOURS.get(i % COLOURS.size()));
+        for (int i = 0; i < dataset.getSeriesCount(); i++) {
+            renderer.setSeriesPaint(i, SERIES_COLOURS.get(i % SERIES_COLOURS.size()));
             renderer.setSeriesStroke(i, new BasicStroke(1.6f));
         }
         plot.setRenderer(renderer);
-        return svg(chart, HEIGHT);
+        return renderSvg(chart, HEIGHT);
     }
 
-    private static String svg(JFreeChart chart, int height) {
+    private static String renderSvg(JFreeChart chart, int height) {
         chart.setBackgroundPaint(Color.WHITE);
         if (chart.getLegend() != null) {
             chart.getLegend().setItemFont(new Font(Font.SANS_SERIF, Font.PLAIN, 12));
--- a/cli/src/main/java/org/tanagerhinge/cli/report/Timeline.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/report/Timeline.java
@@ -18,17 +18,17 @@
 
     /** Adds to the value of a second. */
     void add(int second, double value) {
-        reach(second);
+        extendTo(second);
         values[second] += value;
     }
 
     /** Raises the value of a second to at least one. */
-    void atLeast(int second, double value) {
-        reach(second);
+    void raiseTo(int second, double value) {
+        extendTo(second);
         values[second] = Math.max(values[second], value);
     }
 
-    private void reach(int second) {
+    private void extendTo(int second) {
         if (second >= values.length) {
             values = Arrays.copyOf(values, Math.max(second + 1, values.length * 2));
         }
@@ -41,7 +41,7 @@
     }
 
     /** Returns the value of a second, 0 where none was noted. */
-    double at(int second) {
+    double valueAt(int second) {
         return second < values.length ? values[second] : 0;
     }
 }
--- a/cli/src/main/java/org/tanagerhinge/cli/trace/LogRecord.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/trace/LogRecord.java
@@ -14,15 +14,15 @@
  * @param fields its fields
  */
 public record LogRecord(String text, JsonNode fields) {
-    private static final Set<String> NOT_SHOWN = Set.of("at", "up", "node", "level", "event", LogField.ID.label());
+    private static final Set<String> OMITTED_FIELDS = Set.of("at", "up", "node", "level", "event", LogField.ID.label());
 
     /** Returns the time of day at which it was written, in milliseconds; clocks of two hosts may differ. */
-    public long at() {
+    public long wallClockMillis() {
         return fields.path("at").asLong();
     }
 
     /** Returns the time since its process started, in milliseconds; it never jumps. */
-    public long up() {
+    public long uptimeMillis() {
         return fields.path("up").asLong();
     }
 
@@ -49,13 +49,13 @@
     }
 
     /** Returns the line as a person reads it, its time counted from another one's. */
-    public String shown(long from) {
-        StringJoiner rest = new StringJoiner(" ");
+    public String format(long startMillis) {
+        StringJoiner otherFields = new StringJoiner(" ");
         for (Map.Entry<String, JsonNode> field : fields.properties()) {
-            if (!NOT_SHOWN.contains(field.getKey())) {
-                rest.add(field.getKey() + "=" + field.getValue().asText());
+            if (!OMITTED_FIELDS.contains(field.getKey())) {
+                otherFields.add(field.getKey() + "=" + field.getValue().asText());
             }
         }
-        return String.format(Locale.ROOT, "%+8.3f s  %-20s %-15s %s", (at() - from) / 1000.0, node(), event(), rest);
+        return String.format(Locale.ROOT, "%+8.3f s  %-20s %-15s %s", (wallClockMillis() - startMillis) / 1000.0, node(), event(), otherFields);
     }
 }
--- a/cli/src/main/java/org/tanagerhinge/cli/trace/Sentence.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/trace/RequestSummary.java
@@ -8,17 +8,17 @@
 import org.tanagerhinge.node.log.LogField;
 
 /** Says in a sentence how a request ended, and why as far as its lines tell. */
-final class Sentence {
-    private Sentence() {}
+final class RequestSummary {
+    private RequestSummary() {}
 
-    static String of(String id, List<LogRecord> lines) {
+    static String of(String requestId, List<LogRecord> lines) {
         Optional<LogRecord> routed = last(lines, LogEvent.ROUTED);
-        StringBuilder text = new StringBuilder("Request " + id);
+        StringBuilder text = new StringBuilder("Request " + requestId);
         routed.ifPresent(line -> text.append(" on route ")
                 .append(line.text(LogField.ROUTE))
                 .append(line.text(LogField.WORKSPACE).isEmpty() ? "" : " of " + line.text(LogField.WORKSPACE)));
-        LogRecord end = lines.get(lines.size() - 1);
-        text.append(' ').append(ending(end)).append(failures(lines)).append('.');
+        LogRecord lastLine = lines.get(lines.size() - 1);
+        text.append(' ').append(describeEnd(lastLine)).append(describeFailures(lines)).append('.');
         return text.toString();
     }
 
@@ -26,16 +26,16 @@
         return lines.stream().filter(line -> line.event().equals(event.label())).reduce((first, second) -> second);
     }
 
-    private static String ending(LogRecord end) {
+    private static String describeEnd(LogRecord end) {
         String after = " after " + end.number(LogField.MS) + " ms";
         String event = end.event();
         if (event.equals(LogEvent.REFUSED.label())) {
             return "was answered " + end.number(LogField.STATUS) + after + " (" + end.number(LogField.CODE) + ", "
-                    + meaning(end.number(LogField.CODE)) + "); " + ran(end) + reason(end);
+                    + meaning(end.number(LogField.CODE)) + "); " + describeExecution(end) + describeReason(end);
         }
         if (event.equals(LogEvent.ENDED.label())) {
             return "got its whole answer with status " + end.number(LogField.STATUS) + after
-                    + (end.text(LogField.LATE).equals("true") ? late(end) : "");
+                    + (end.text(LogField.LATE).equals("true") ? describeLateness(end) : "");
         }
         if (event.equals(LogEvent.CUT.label())) {
             return "was cut off" + after + " (" + end.text(LogField.WHY) + "), after event "
@@ -48,14 +48,14 @@
                 + ": it still runs, or its process ended without a word";
     }
 
-    private static String late(LogRecord end) {
+    private static String describeLateness(LogRecord end) {
         return end.has(LogField.FIRST_MS)
                 ? ", late: first event after " + end.number(LogField.FIRST_MS) + " ms, longest pause "
                         + end.number(LogField.PAUSE_MS) + " ms"
                 : ", late";
     }
 
-    private static String ran(LogRecord end) {
+    private static String describeExecution(LogRecord end) {
         String retry = end.number(LogField.RETRY_AFTER_MS) > 0
                 ? ", the caller may come back after " + end.number(LogField.RETRY_AFTER_MS) + " ms"
                 : "";
@@ -66,7 +66,7 @@
         };
     }
 
-    private static String reason(LogRecord end) {
+    private static String describeReason(LogRecord end) {
         return end.text(LogField.WHY).isEmpty()
                 ? ""
                 : "; " + end.text(LogField.WHY) + ", at " + end.text(LogField.SERVER);
@@ -76,7 +76,7 @@
         return ResultCode.ofNumber((int) code).map(ResultCode::meaning).orElse("unknown code");
     }
 
-    private static String failures(List<LogRecord> lines) {
+    private static String describeFailures(List<LogRecord> lines) {
         List<String> failures = new ArrayList<>();
         for (LogRecord line : lines) {
             if (line.event().equals(LogEvent.ATTEMPT_FAILED.label())) {
--- a/cli/src/test/java/org/tanagerhinge/cli/report/ReportPageTest.java
+++ b/cli/src/test/java/org/tanagerhinge/cli/report/ReportPageTest.java
@@ -43,46 +43,46 @@
     }
 
     @Test
-    void linesAreCountedByTheSecondInWhichTheyWereWritten() {
+    void countsLinesInTheSecondTheyWereWritten() {
         ReportData data = data(LINES);
-        assertEquals(1, data.outcomes().get(ReportData.Outcome.ON_TIME).at(1));
-        assertEquals(1, data.outcomes().get(ReportData.Outcome.LATE).at(1));
-        assertEquals(2, data.outcomes().get(ReportData.Outcome.REFUSED).at(2));
-        assertEquals(1, data.outcomes().get(ReportData.Outcome.BROKEN).at(2));
-        assertEquals(9_000, data.readingByServer().get("s-1").at(0));
-        assertEquals(500, data.fetched().at(0));
-        assertEquals(120, data.listAgeByNode().get("h1").at(0));
+        assertEquals(1, data.outcomes().get(ReportData.Outcome.ON_TIME).valueAt(1));
+        assertEquals(1, data.outcomes().get(ReportData.Outcome.LATE).valueAt(1));
+        assertEquals(2, data.outcomes().get(ReportData.Outcome.REFUSED).valueAt(2));
+        assertEquals(1, data.outcomes().get(ReportData.Outcome.BROKEN).valueAt(2));
+        assertEquals(9_000, data.tokensToPrefillByServer().get("s-1").valueAt(0));
+        assertEquals(500, data.fetchedTokens().valueAt(0));
+        assertEquals(120, data.serverListAgeByNode().get("h1").valueAt(0));
     }
 
     @Test
-    void refusalsWhoseReasonsDifferInNumbersOnlyAreOneReason() {
+    void groupsRefusalsWhoseReasonsDifferOnlyInNumbers() {
         assertEquals(1, data(LINES).refusals().size());
         assertEquals(2, data(LINES).refusals().values().iterator().next());
     }
 
     @Test
-    void whatHappenedOnSeveralHostsInOneSecondIsOneRow() {
-        List<ReportData.Happening> rows = data(LINES).happenings();
+    void mergesAnEventOnSeveralHostsInOneSecondIntoOneRow() {
+        List<ReportData.FleetEvent> rows = data(LINES).fleetEvents();
         assertEquals(
                 List.of(
-                        new ReportData.Happening(0, "started", 2),
-                        new ReportData.Happening(3, "server_gone s-1 <&>", 2)),
+                        new ReportData.FleetEvent(0, "started", 2),
+                        new ReportData.FleetEvent(3, "server_gone s-1 <&>", 2)),
                 rows);
     }
 
     /** What would go wrong: a host whose clock is a year off would squeeze all others into one point of each plot. */
     @Test
-    void linesOfAClockThatIsFarOffAreLeftOutAndCounted() {
+    void excludesAndCountsLinesOfAHostWhoseClockIsFarOff() {
         List<String> lines = new ArrayList<>(LINES);
         lines.add(line(-31_536_000_000L, "h3", "\"event\":\"started\""));
         lines.add(line(31_536_000_000L, "h3", "\"event\":\"stopped\""));
         ReportData data = data(lines);
-        assertEquals(2, data.leftOut());
-        assertEquals(1, data.outcomes().get(ReportData.Outcome.ON_TIME).at(1));
+        assertEquals(2, data.excludedLineCount());
+        assertEquals(1, data.outcomes().get(ReportData.Outcome.ON_TIME).valueAt(1));
     }
 
     @Test
-    void aPageNeedsNothingBesideItAndShowsNamesAsTheyAre() {
+    void pageIsSelfContainedAndEscapesHtmlInNames() {
         String page = ReportPage.of("a <title>", List.of(LogFile.of(LINES))).orElseThrow();
         assertTrue(page.contains("<svg"), "no plot");
         assertTrue(page.contains("server_gone s-1 &lt;&amp;&gt;"), "no row");
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void logsWithoutAnEventMakeNoPage() {
+    void returnsNoPageForLogsWithoutAnEvent() {
         assertEquals(Optional.empty(), ReportPage.of("t", List.of(LogFile.of(List.of("hello", "{\"a\":1}")))));
     }
 }
--- a/cli/src/test/java/org/tanagerhinge/cli/trace/TraceTest.java
+++ b/cli/src/test/java/org/tanagerhinge/cli/trace/RequestTraceTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** One request's lines are found in any collector's files, in order, and its end is said in a sentence. */
-class TraceTest {
+class RequestTraceTest {
     private static String line(long at, long up, String node, String rest) {
         return "{\"at\":" + at + ",\"up\":" + up + ",\"node\":\"" + node + "\",\"level\":\"INFO\"," + rest + "}";
     }
@@ -18,8 +18,8 @@
     private static final String ROUTED =
             line(1_000, 500, "h1", "\"event\":\"routed\",\"id\":\"a\",\"route\":\"r1\",\"workspace\":\"coop\"");
 
-    private static Trace trace(String... lines) {
-        return Trace.of("a", List.of(LogFile.of(List.of(lines))));
+    private static RequestTrace trace(String... lines) {
+        return RequestTrace.of("a", List.of(LogFile.of(List.of(lines))));
     }
 
     @ParameterizedTest
@@ -39,16 +39,16 @@
                 "\"event\":\"caller_gone\",\"ms\":33|was left by its caller after 33 ms",
                 "\"event\":\"sent\",\"server\":\"s\"|has no end in these logs",
             })
-    void theSentenceSaysHowTheRequestEnded(String end, String expected) {
-        String sentence =
-                trace(ROUTED, line(1_100, 600, "h1", "\"id\":\"a\"," + end)).sentence();
-        assertTrue(sentence.startsWith("Request a on route r1 of coop "), sentence);
-        assertTrue(sentence.contains(expected), sentence);
+    void summaryStatesHowTheRequestEnded(String end, String expected) {
+        String summary =
+                trace(ROUTED, line(1_100, 600, "h1", "\"id\":\"a\"," + end)).summary();
+        assertTrue(summary.startsWith("Request a on route r1 of coop "), summary);
+        assertTrue(summary.contains(expected), summary);
     }
 
     @Test
-    void failedAttemptsAreNamed() {
-        String sentence = trace(
+    void summaryListsFailedAttempts() {
+        String summary = trace(
                         ROUTED,
                         line(
                                 1_050,
@@ -57,8 +57,8 @@
                                 "\"event\":\"attempt_failed\",\"id\":\"a\",\"server\":\"s-1\",\"attempt\":1,\"ms\":40,"
                                         + "\"end\":\"broken\",\"why\":\"connection closed\""),
                         line(1_100, 600, "h1", "\"event\":\"ended\",\"id\":\"a\",\"status\":200,\"ms\":90"))
-                .sentence();
-        assertTrue(sentence.contains("attempt 1 at s-1 failed after 40 ms: broken, connection closed"), sentence);
+                .summary();
+        assertTrue(summary.contains("attempt 1 at s-1 failed after 40 ms: broken, connection closed"), summary);
     }
 
     /**
@@ -66,19 +66,19 @@
      * lines. Cause: lines were sorted by the time of day.
      */
     @Test
-    void linesOfOneProcessStayInTheirOrderWhateverItsClockDoes() {
-        Trace trace = trace(
+    void keepsTheOrderOfLinesOfOneProcessWhenItsClockStepsBack() {
+        RequestTrace trace = trace(
                 ROUTED,
                 line(400, 510, "h1", "\"event\":\"sent\",\"id\":\"a\",\"server\":\"s\""),
                 line(450, 560, "h1", "\"event\":\"ended\",\"id\":\"a\",\"status\":200,\"ms\":60"));
         assertEquals(
                 List.of("routed", "sent", "ended"),
-                trace.ofRequest().stream().map(LogRecord::event).toList());
+                trace.requestLines().stream().map(LogRecord::event).toList());
     }
 
     @Test
-    void whatItsProcessCameToBelieveOfItsServersIsShownBesideIt() {
-        Trace trace = trace(
+    void contextContainsEventsOfTheRequestsServersFromTheSameProcess() {
+        RequestTrace trace = trace(
                 line(100, 50, "h1", "\"event\":\"server_ejected\",\"server\":\"other\""),
                 ROUTED,
                 line(1_001, 501, "h1", "\"event\":\"sent\",\"id\":\"a\",\"server\":\"s\""),
@@ -88,7 +88,7 @@
                 line(60_000, 59_500, "h1", "\"event\":\"server_gone\",\"server\":\"s\""));
         assertEquals(
                 List.of("routed", "sent", "server_gone", "cut"),
-                trace.withBeliefs().stream().map(LogRecord::event).toList());
+                trace.linesWithContext().stream().map(LogRecord::event).toList());
     }
 
     /**
@@ -96,28 +96,28 @@
      * started again. Cause: lines were compared by the time since the start, of whichever process.
      */
     @Test
-    void beliefsOfAnEarlierProcessOfTheSameHostAreLeftOut() {
-        Trace trace = trace(
+    void contextExcludesAnEarlierProcessOfTheSameHost() {
+        RequestTrace trace = trace(
                 line(100, 480, "h1", "\"event\":\"store_lost\""),
                 line(200, 9_000, "h1", "\"event\":\"peer_lost\",\"server\":\"h2\""),
                 line(900, 400, "h1", "\"event\":\"store_back\""),
                 ROUTED);
         assertEquals(
                 List.of("store_back", "routed"),
-                trace.withBeliefs().stream().map(LogRecord::event).toList());
+                trace.linesWithContext().stream().map(LogRecord::event).toList());
     }
 
     @Test
-    void whatCollectorsPutBeforeALineAndLinesCutShortAreNoHindrance() {
-        Trace trace = trace(" 12.5 host-1 " + ROUTED, "{\"at\":1,\"event\":\"sent\",\"id\":\"a", "no line at all", "");
-        assertEquals(1, trace.ofRequest().size());
+    void ignoresCollectorPrefixesAndTruncatedLines() {
+        RequestTrace trace = trace(" 12.5 host-1 " + ROUTED, "{\"at\":1,\"event\":\"sent\",\"id\":\"a", "no line at all", "");
+        assertEquals(1, trace.requestLines().size());
         assertFalse(trace.isEmpty());
-        assertTrue(Trace.of("b", List.of(LogFile.of(List.of(ROUTED)))).isEmpty());
+        assertTrue(RequestTrace.of("b", List.of(LogFile.of(List.of(ROUTED)))).isEmpty());
     }
 
     @Test
-    void linesThatWereDroppedAreMentioned() {
-        Trace trace = trace(ROUTED, line(1_100, 600, "h1", "\"event\":\"log_dropped\",\"count\":17"));
-        assertTrue(trace.sentence().endsWith("17 lines were dropped by the processes"), trace.sentence());
+    void summaryMentionsDroppedLines() {
+        RequestTrace trace = trace(ROUTED, line(1_100, 600, "h1", "\"event\":\"log_dropped\",\"count\":17"));
+        assertTrue(trace.summary().endsWith("17 lines were dropped by the processes"), trace.summary());
     }
 }
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayTraceTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayTraceTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.tanagerhinge.cli.trace.LogFile;
 import org.tanagerhinge.cli.trace.LogRecord;
-import org.tanagerhinge.cli.trace.Trace;
+import org.tanagerhinge.cli.trace.RequestTrace;
 import org.tanagerhinge.gateway.GatewayDaemon;
 import org.tanagerhinge.node.log.LogField;
 import org.tanagerhinge.node.log.LogSetup;
@@ -57,16 +57,16 @@
         }
     }
 
-    private Trace trace(String id) throws Exception {
+    private RequestTrace trace(String id) throws Exception {
         copy.close();
-        return Trace.of(
+        return RequestTrace.of(
                 id,
                 List.of(LogFile.of(
                         written.toString(StandardCharsets.UTF_8).lines().toList())));
     }
 
-    private static List<String> events(Trace trace) {
-        return trace.ofRequest().stream().map(LogRecord::event).toList();
+    private static List<String> events(RequestTrace trace) {
+        return trace.requestLines().stream().map(LogRecord::event).toList();
     }
 
     /** An engine that brings nothing for two urgent requests: the less urgent third has to yield. */
@@ -85,13 +85,13 @@
         } finally {
             over.countDown();
         }
-        Trace trace = trace("plan-refused");
+        RequestTrace trace = trace("plan-refused");
         assertEquals("refused", events(trace).get(events(trace).size() - 1));
-        assertTrue(trace.sentence().contains("was answered 503"), trace.sentence());
-        LogRecord refused = trace.ofRequest().get(trace.ofRequest().size() - 1);
+        assertTrue(trace.summary().contains("was answered 503"), trace.summary());
+        LogRecord refused = trace.requestLines().get(trace.requestLines().size() - 1);
         assertEquals("s-1", refused.text(LogField.SERVER), "where it would have gone");
         assertTrue(refused.text(LogField.WHY).contains("overdue"), refused.text());
-        assertTrue(trace.sentence().contains("it did not run, the caller may come back after"), trace.sentence());
+        assertTrue(trace.summary().contains("it did not run, the caller may come back after"), trace.summary());
     }
 
     @Test
@@ -99,14 +99,14 @@
         scene.server("s-1", "plain", (server, request, connection) -> connection.reset());
         GatewayDaemon gateway = scene.gateway();
         assertEquals(502, ask(gateway, "POST", "/once/x", "lost").status());
-        Trace trace = trace("lost");
+        RequestTrace trace = trace("lost");
         assertEquals(List.of("routed", "sent", "attempt_failed", "refused"), events(trace));
-        LogRecord routed = trace.ofRequest().get(0);
+        LogRecord routed = trace.requestLines().get(0);
         assertEquals("coop", routed.text(LogField.WORKSPACE));
         assertEquals(3, routed.number(LogField.CONFIG));
-        assertEquals("s-1", trace.ofRequest().get(1).text(LogField.SERVER));
-        assertTrue(trace.sentence().contains("whether it ran is not known"), trace.sentence());
-        assertTrue(trace.sentence().contains("attempt 1 at s-1 failed"), trace.sentence());
+        assertEquals("s-1", trace.requestLines().get(1).text(LogField.SERVER));
+        assertTrue(trace.summary().contains("whether it ran is not known"), trace.summary());
+        assertTrue(trace.summary().contains("attempt 1 at s-1 failed"), trace.summary());
     }
 
     @Test
@@ -116,14 +116,14 @@
         ask(gateway, "POST", "/ask/x", "cut");
         server.script(ServerStandin.events(3, 200));
         assertEquals(200, ask(gateway, "POST", "/plan/x", "late").status());
-        Trace cut = trace("cut");
+        RequestTrace cut = trace("cut");
         assertEquals(List.of("routed", "sent", "attempt_failed", "cut"), events(cut));
-        assertTrue(cut.sentence().contains("after event 2 of its stream"), cut.sentence());
-        Trace late = Trace.of(
+        assertTrue(cut.summary().contains("after event 2 of its stream"), cut.summary());
+        RequestTrace late = RequestTrace.of(
                 "late",
                 List.of(LogFile.of(
                         written.toString(StandardCharsets.UTF_8).lines().toList())));
-        assertTrue(late.sentence().contains("late: first event after"), late.sentence());
+        assertTrue(late.summary().contains("late: first event after"), late.summary());
     }
 
     /** What safe requests do on their way is told too: the failed attempt, the repeat, and the whole answer. */
@@ -137,8 +137,8 @@
             assertEquals(200, ask(gateway, "GET", "/safe/x", "safe-" + tries).status());
             tries++;
         }
-        Trace trace = trace("safe-" + (tries - 1));
+        RequestTrace trace = trace("safe-" + (tries - 1));
         assertEquals(List.of("routed", "sent", "attempt_failed", "repeated", "sent", "ended"), events(trace));
-        assertEquals(2, trace.ofRequest().get(5).number(LogField.ATTEMPT));
+        assertEquals(2, trace.requestLines().get(5).number(LogField.ATTEMPT));
     }
 }
