--- a/cli/src/main/java/org/tanagerhinge/cli/ProfileCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ProfileCommands.java
@@ -84,7 +84,12 @@
             ConfigStore store = configStore();
             ProfilesDocument before = store.read().profiles();
             long baseRevision = desired.revision() == 0 ? before.revision() : desired.revision();
-            reportEdit(this, store, before, desired, store.editProfiles(baseRevision, current -> withContentOf(current, desired)));
+            reportEdit(
+                    this,
+                    store,
+                    before,
+                    desired,
+                    store.editProfiles(baseRevision, current -> withContentOf(current, desired)));
         }
     }
 
--- a/cli/src/main/java/org/tanagerhinge/cli/ServerCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ServerCommands.java
@@ -140,7 +140,8 @@
         }
     }
 
-    private static void setDesiredState(PlatformCommand command, String id, DesiredServerState desiredState) throws TanagerhingeException {
+    private static void setDesiredState(PlatformCommand command, String id, DesiredServerState desiredState)
+            throws TanagerhingeException {
         ServerId serverId = ServerId.of(id);
         ServersDocument current = command.configStore().read().servers();
         if (current.server(serverId).isEmpty()) {
@@ -156,7 +157,8 @@
         edit(
                 command,
                 serverId,
-                document -> document.withServer(requireListed(document, serverId).withDesiredState(desiredState)));
+                document ->
+                        document.withServer(requireListed(document, serverId).withDesiredState(desiredState)));
     }
 
     private static BackendServer requireListed(ServersDocument document, ServerId id) {
--- a/cli/src/main/java/org/tanagerhinge/cli/StatusCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/StatusCommand.java
@@ -53,8 +53,9 @@
         long serversRevision = metricValue(metrics, "tanagerhinge_servers_revision");
         boolean behind = profilesRevision < config.profiles().revision()
                 || serversRevision < config.servers().revision();
-        long inFlight =
-                Math.max(metricValue(metrics, "tanagerhinge_in_flight"), metricValue(metrics, "tanagerhinge_requests_in_progress"));
+        long inFlight = Math.max(
+                metricValue(metrics, "tanagerhinge_in_flight"),
+                metricValue(metrics, "tanagerhinge_requests_in_progress"));
         return new Object[] {
             nodeUrl,
             readiness == null ? "NOT READY" : "ready",
@@ -69,7 +70,8 @@
 
     private String fetchBody(String url) {
         try {
-            ContentResponse response = httpClient().newRequest(url)
+            ContentResponse response = httpClient()
+                    .newRequest(url)
                     .timeout(HTTP_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                     .send();
             return response.getStatus() == HTTP_OK ? response.getContentAsString() : null;
--- a/cli/src/main/java/org/tanagerhinge/cli/TraceCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/TraceCommand.java
@@ -39,8 +39,8 @@
         if (trace.isEmpty()) {
             throw new CommandFailedException(
                     ExitCode.INVALID,
-                    "no line tells of request '" + requestId + "' in " + logs.size() + " file(s) with " + trace.lineCount()
-                            + " lines" + trace.dropped());
+                    "no line tells of request '" + requestId + "' in " + logs.size() + " file(s) with "
+                            + trace.lineCount() + " lines" + trace.dropped());
         }
         List<LogRecord> lines = requestLinesOnly ? trace.requestLines() : trace.linesWithContext();
         long startMillis = lines.get(0).wallClockMillis();
--- a/cli/src/main/java/org/tanagerhinge/cli/WorkspaceCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/WorkspaceCommands.java
@@ -71,7 +71,8 @@
         }
     }
 
-    private static ProfilesDocument withKey(ProfilesDocument document, WorkspaceId id, String keyDigest, double weight) {
+    private static ProfilesDocument withKey(
+            ProfilesDocument document, WorkspaceId id, String keyDigest, double weight) {
         List<Workspace> workspaces = new ArrayList<>(document.workspaces());
         List<String> keys = new ArrayList<>();
         document.workspace(id).ifPresent(existing -> keys.addAll(existing.keySha256()));
--- a/cli/src/main/java/org/tanagerhinge/cli/report/ReportData.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/report/ReportData.java
@@ -75,7 +75,8 @@
         if (records.isEmpty()) {
             return Optional.empty();
         }
-        long[] timesMillis = records.stream().mapToLong(LogRecord::wallClockMillis).sorted().toArray();
+        long[] timesMillis =
+                records.stream().mapToLong(LogRecord::wallClockMillis).sorted().toArray();
         long medianMillis = timesMillis[timesMillis.length / 2];
         long halfSpanMillis = MAX_SPAN_SECONDS * 1000L / 2;
         long startMillis = medianMillis;
@@ -145,13 +146,17 @@
         int code = (int) line.number(LogField.CODE);
         String meaning = ResultCode.ofNumber(code).map(ResultCode::meaning).orElse("unknown code");
         String details = line.text(LogField.WHY).replaceAll("[0-9]+", "N");
-        String reason = details.isEmpty() ? meaning : meaning + ": " + details.substring(0, Math.min(MAX_REASON_LENGTH, details.length()));
+        String reason = details.isEmpty()
+                ? meaning
+                : meaning + ": " + details.substring(0, Math.min(MAX_REASON_LENGTH, details.length()));
         refusals.merge(code + " " + reason, 1, Integer::sum);
     }
 
     private void addSent(LogRecord line, int second) {
         String server = line.text(LogField.SERVER);
-        tokensToPrefillByServer.computeIfAbsent(server, id -> Timeline.empty()).raiseTo(second, line.number(LogField.READING));
+        tokensToPrefillByServer
+                .computeIfAbsent(server, id -> Timeline.empty())
+                .raiseTo(second, line.number(LogField.READING));
         inFlightByServer.computeIfAbsent(server, id -> Timeline.empty()).raiseTo(second, line.number(LogField.RUNNING));
         fetchedTokens.add(second, line.number(LogField.FETCH));
     }
@@ -220,8 +225,8 @@
 
     List<FleetEvent> fleetEvents() {
         List<FleetEvent> events = new ArrayList<>();
-        fleetEvents.forEach((second, hostsByDescription) ->
-                hostsByDescription.forEach((description, hosts) -> events.add(new FleetEvent(second, description, hosts.size()))));
+        fleetEvents.forEach((second, hostsByDescription) -> hostsByDescription.forEach(
+                (description, hosts) -> events.add(new FleetEvent(second, description, hosts.size()))));
         return events;
     }
 }
--- a/cli/src/main/java/org/tanagerhinge/cli/report/ReportPage.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/report/ReportPage.java
@@ -24,7 +24,10 @@
 
     private static String render(String title, ReportData data) {
         StringBuilder html = new StringBuilder("<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">");
-        html.append("<title>").append(escapeHtml(title)).append("</title><style>").append(STYLE);
+        html.append("<title>")
+                .append(escapeHtml(title))
+                .append("</title><style>")
+                .append(STYLE);
         html.append("</style></head><body>\n<h1>").append(escapeHtml(title)).append("</h1>\n<p>");
         html.append(data.lineCount()).append(" lines; seconds count from the first of them.");
         if (data.excludedLineCount() > 0) {
@@ -42,8 +45,13 @@
                 "Prompts to be read",
                 "As hosts believed when they sent there: the mean server and the one with most.",
                 ReportPlots.tokensToPrefill(data));
-        appendSection(html, "Requests at servers", "As hosts believed when they sent there.", ReportPlots.inFlight(data));
-        appendSection(html, "Fetched in place of read", "Prompt tokens taken from another server.", ReportPlots.fetchedTokens(data));
+        appendSection(
+                html, "Requests at servers", "As hosts believed when they sent there.", ReportPlots.inFlight(data));
+        appendSection(
+                html,
+                "Fetched in place of read",
+                "Prompt tokens taken from another server.",
+                ReportPlots.fetchedTokens(data));
         appendSection(html, "Refusals by reason", "Numbers within reasons are shown as N.", ReportPlots.refusals(data));
         appendSection(
                 html,
--- a/cli/src/main/java/org/tanagerhinge/cli/trace/LogRecord.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/trace/LogRecord.java
@@ -56,6 +56,12 @@
                 otherFields.add(field.getKey() + "=" + field.getValue().asText());
             }
         }
-        return String.format(Locale.ROOT, "%+8.3f s  %-20s %-15s %s", (wallClockMillis() - startMillis) / 1000.0, node(), event(), otherFields);
+        return String.format(
+                Locale.ROOT,
+                "%+8.3f s  %-20s %-15s %s",
+                (wallClockMillis() - startMillis) / 1000.0,
+                node(),
+                event(),
+                otherFields);
     }
 }
--- a/cli/src/main/java/org/tanagerhinge/cli/trace/RequestSummary.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/trace/RequestSummary.java
@@ -18,7 +18,10 @@
                 .append(line.text(LogField.ROUTE))
                 .append(line.text(LogField.WORKSPACE).isEmpty() ? "" : " of " + line.text(LogField.WORKSPACE)));
         LogRecord lastLine = lines.get(lines.size() - 1);
-        text.append(' ').append(describeEnd(lastLine)).append(describeFailures(lines)).append('.');
+        text.append(' ')
+                .append(describeEnd(lastLine))
+                .append(describeFailures(lines))
+                .append('.');
         return text.toString();
     }
 
--- a/cli/src/main/java/org/tanagerhinge/cli/trace/RequestTrace.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/trace/RequestTrace.java
@@ -30,7 +30,12 @@
     private final int lineCount;
     private final long dropped;
 
-    private RequestTrace(String requestId, List<LogRecord> requestLines, List<LogRecord> linesWithContext, int lineCount, long dropped) {
+    private RequestTrace(
+            String requestId,
+            List<LogRecord> requestLines,
+            List<LogRecord> linesWithContext,
+            int lineCount,
+            long dropped) {
         this.requestId = requestId;
         this.requestLines = requestLines;
         this.linesWithContext = linesWithContext;
@@ -64,13 +69,16 @@
                 contextLinesByProcess.add(withContext(processLines, requestLines));
             }
         }
-        return new RequestTrace(requestId, mergeByTime(requestLinesByProcess), mergeByTime(contextLinesByProcess), lineCount, dropped);
+        return new RequestTrace(
+                requestId, mergeByTime(requestLinesByProcess), mergeByTime(contextLinesByProcess), lineCount, dropped);
     }
 
     /** The time since a process's start falls back where the next process of the same host begins. */
     private static void addToProcess(List<List<LogRecord>> processes, LogRecord line) {
         List<LogRecord> newestProcess = processes.isEmpty() ? List.of() : processes.get(processes.size() - 1);
-        if (newestProcess.isEmpty() || line.uptimeMillis() < newestProcess.get(newestProcess.size() - 1).uptimeMillis()) {
+        if (newestProcess.isEmpty()
+                || line.uptimeMillis()
+                        < newestProcess.get(newestProcess.size() - 1).uptimeMillis()) {
             newestProcess = new ArrayList<>();
             processes.add(newestProcess);
         }
@@ -86,8 +94,10 @@
         long toMillis = requestLines.get(requestLines.size() - 1).uptimeMillis() + CONTEXT_AFTER_MILLIS;
         Set<LogRecord> requestLineSet = new HashSet<>(requestLines);
         return processLines.stream()
-                .filter(line ->
-                        requestLineSet.contains(line) || (line.uptimeMillis() >= fromMillis && line.uptimeMillis() <= toMillis && isContext(line, servers)))
+                .filter(line -> requestLineSet.contains(line)
+                        || (line.uptimeMillis() >= fromMillis
+                                && line.uptimeMillis() <= toMillis
+                                && isContext(line, servers)))
                 .toList();
     }
 
@@ -117,7 +127,8 @@
             for (Deque<LogRecord> queue : remaining.values()) {
                 if (!queue.isEmpty()
                         && (next == null
-                                || queue.peekFirst().wallClockMillis() < next.peekFirst().wallClockMillis())) {
+                                || queue.peekFirst().wallClockMillis()
+                                        < next.peekFirst().wallClockMillis())) {
                     next = queue;
                 }
             }
--- a/cli/src/test/java/org/tanagerhinge/cli/trace/RequestTraceTest.java
+++ b/cli/src/test/java/org/tanagerhinge/cli/trace/RequestTraceTest.java
@@ -109,7 +109,8 @@
 
     @Test
     void ignoresCollectorPrefixesAndTruncatedLines() {
-        RequestTrace trace = trace(" 12.5 host-1 " + ROUTED, "{\"at\":1,\"event\":\"sent\",\"id\":\"a", "no line at all", "");
+        RequestTrace trace =
+                trace(" 12.5 host-1 " + ROUTED, "{\"at\":1,\"event\":\"sent\",\"id\":\"a", "no line at all", "");
         assertEquals(1, trace.requestLines().size());
         assertFalse(trace.isEmpty());
         assertTrue(RequestTrace.of("b", List.of(LogFile.of(List.of(ROUTED)))).isEmpty());
