--- a/agent/src/main/java/org/tanagerhinge/agent/AgentDaemon.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/AgentDaemon.java
@@ -44,8 +44,8 @@
 
 /** Joins the agent's decisions to the network, the backend server and the platform. */
 public final class AgentDaemon implements Daemon {
-    private static final Duration TICK = Duration.ofMillis(50);
-    private static final Duration POLL_ALONE = Duration.ofSeconds(1);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
+    private static final Duration DISCONNECTED_POLL_INTERVAL = Duration.ofSeconds(1);
     private static final int NETWORK_THREADS = 2;
 
     /** What an agent is started with. */
@@ -66,20 +66,21 @@
     private final Parts parts;
     private final NodeMetrics metrics = NodeMetrics.create();
     private final ControlLoop control;
-    private final EventLoopGroup network;
+    private final EventLoopGroup eventLoops;
     private final Map<RouterId, Link> links = new ConcurrentHashMap<>();
     private final AgentCore core;
     private final BackendClient backend;
     private LinkServer linkServer;
-    private HttpServer pages;
+    private HttpServer httpServer;
     private ConfigPoller poller;
 
     private AgentDaemon(Parts parts) {
         this.parts = parts;
         this.control = ControlLoop.start("control-" + parts.name(), metrics);
-        this.network = new MultiThreadIoEventLoopGroup(
+        this.eventLoops = new MultiThreadIoEventLoopGroup(
                 NETWORK_THREADS, new DefaultThreadFactory("net-" + parts.name(), true), NioIoHandler.newFactory());
-        this.backend = new BackendClient(parts.http(), parts.backendUrl(), parts.probePath(), new PostedEvents());
+        this.backend =
+                new BackendClient(parts.http(), parts.backendUrl(), parts.probePath(), new BackendEventForwarder());
         this.core = AgentCore.create(
                 parts.name(), Incarnation.next(), parts.options(), SteadyClock.create(), new Port(), metrics);
     }
@@ -98,15 +99,15 @@
 
     private void open() throws TanagerhingeException {
         Peer self = Peer.agent(parts.name().value(), core.incarnation());
-        linkServer =
-                LinkServer.start(network, parts.listen(), self, parts.secret(), parts.peerIdle(), new PostedLinks());
-        gauges();
-        pages = HttpServer.start(
+        linkServer = LinkServer.start(
+                eventLoops, parts.listen(), self, parts.secret(), parts.peerIdle(), new LinkEventForwarder());
+        registerGauges();
+        httpServer = HttpServer.start(
                 parts.metricsAddress(),
                 Map.of(
                         "/metrics", () -> Page.text(200, metrics.text()),
                         "/healthz", () -> Page.text(200, "ok\n"),
-                        "/readyz", this::readiness),
+                        "/readyz", this::readinessPage),
                 new Handler.Abstract() {
                     @Override
                     public boolean handle(
@@ -118,17 +119,17 @@
                 });
         poller = ConfigPoller.start(
                 ConfigStore.in(parts.platform()),
-                () -> links.isEmpty() ? POLL_ALONE : parts.pollInterval(),
+                () -> links.isEmpty() ? DISCONNECTED_POLL_INTERVAL : parts.pollInterval(),
                 config -> control.post(() -> core.applyConfig(config)),
                 metrics);
-        control.every(TICK, core::onTick);
+        control.every(TICK_INTERVAL, core::onTick);
         LogSetup.node(parts.name().value());
         LogLine.of(LogEvent.STARTED)
                 .with(LogField.WHY, "listening on port " + linkServer.port())
                 .write();
     }
 
-    private void gauges() {
+    private void registerGauges() {
         metrics.gauge("queue_length", "Requests queued", () -> control.ask(core::queueLength));
         metrics.gauge("in_flight", "Requests at the backend server", () -> control.ask(core::inFlight));
         metrics.gauge(
@@ -150,7 +151,7 @@
                 () -> revision().servers());
     }
 
-    private Page readiness() {
+    private Page readinessPage() {
         boolean ready = control.ask(() -> core.config().isComplete());
         return ready ? Page.text(200, "ready\n") : Page.text(503, "no configuration has been read yet\n");
     }
@@ -172,7 +173,7 @@
 
     /** Returns the port that metrics are served on. */
     public int metricsPort() {
-        return pages.port();
+        return httpServer.port();
     }
 
     public NodeMetrics metrics() {
@@ -199,13 +200,13 @@
         if (poller != null) {
             poller.close();
         }
-        if (pages != null) {
-            pages.close();
+        if (httpServer != null) {
+            httpServer.close();
         }
         if (linkServer != null) {
             linkServer.close();
         }
-        network.shutdownGracefully(0, 500, java.util.concurrent.TimeUnit.MILLISECONDS);
+        eventLoops.shutdownGracefully(0, 500, java.util.concurrent.TimeUnit.MILLISECONDS);
         control.close();
     }
 
@@ -237,7 +238,7 @@
 
         @Override
         public void setPaused(long runId, boolean paused) {
-            backend.pause(runId, paused);
+            backend.setPaused(runId, paused);
         }
 
         @Override
@@ -254,38 +255,38 @@
     }
 
     /** Hands the backend server's events to the control thread. */
-    private final class PostedEvents implements BackendEvents {
+    private final class BackendEventForwarder implements BackendListener {
         @Override
-        public void head(long runId, int status, String contentType) {
+        public void onHead(long runId, int status, String contentType) {
             control.post(() -> core.onResponseHead(runId, status, contentType));
         }
 
         @Override
-        public void output(long runId, long units, byte[] data) {
+        public void onOutput(long runId, long units, byte[] data) {
             control.post(() -> core.onOutput(runId, units, data));
         }
 
         @Override
-        public void finished(long runId, String finishReason) {
+        public void onFinished(long runId, String finishReason) {
             control.post(() -> core.onCompleted(runId, finishReason));
         }
 
         @Override
-        public void failed(long runId, boolean began, ResultCode code, String detail) {
-            control.post(() -> core.onFailed(runId, began, code, detail));
+        public void onFailed(long runId, boolean reachedBackend, ResultCode code, String detail) {
+            control.post(() -> core.onFailed(runId, reachedBackend, code, detail));
         }
     }
 
     /** Hands the events of connections to the control thread. */
-    private final class PostedLinks implements LinkListener {
+    private final class LinkEventForwarder implements LinkListener {
         @Override
         public void onUp(Link link) {
             control.post(() -> {
-                RouterId router = idOf(link);
-                Link former = links.put(router, link);
+                RouterId router = routerIdOf(link);
+                Link previous = links.put(router, link);
                 core.onRouterConnected(router);
-                if (former != null) {
-                    former.close();
+                if (previous != null) {
+                    previous.close();
                 }
             });
         }
@@ -294,7 +295,7 @@
         public void onFrame(Link link, Frame frame) {
             if (frame instanceof Frame.FromRouter message) {
                 control.post(() -> {
-                    RouterId router = idOf(link);
+                    RouterId router = routerIdOf(link);
                     if (links.get(router) == link) {
                         core.onFrame(router, message);
                     }
@@ -308,7 +309,7 @@
         @Override
         public void onDown(Link link) {
             control.post(() -> {
-                RouterId router = idOf(link);
+                RouterId router = routerIdOf(link);
                 if (links.remove(router, link)) {
                     core.onRouterDisconnected(router);
                 }
@@ -320,7 +321,7 @@
             metrics.count("link_refused_" + reason);
         }
 
-        private static RouterId idOf(Link link) {
+        private static RouterId routerIdOf(Link link) {
             return RouterId.of(link.peer().name(), link.peer().incarnation());
         }
     }
--- a/agent/src/main/java/org/tanagerhinge/agent/AgentModule.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/AgentModule.java
@@ -28,23 +28,23 @@
     @Singleton
     PlatformStore platform(HttpClient http) {
         return EtcdStore.at(
-                http, settings.value(AgentSettings.PLATFORM), settings.value(AgentSettings.PLATFORM_TIMEOUT));
+                http, settings.value(AgentSettings.PLATFORM_URL), settings.value(AgentSettings.PLATFORM_TIMEOUT));
     }
 
     @Provides
     AgentDaemon.Parts parts(HttpClient http, PlatformStore platform) {
         return new AgentDaemon.Parts(
                 settings.value(AgentSettings.NAME),
-                settings.value(AgentSettings.LISTEN),
-                settings.value(AgentSettings.METRICS),
+                settings.value(AgentSettings.LISTEN_ADDRESS),
+                settings.value(AgentSettings.METRICS_ADDRESS),
                 settings.value(AgentSettings.SECRET),
                 AgentSettings.options(settings),
-                settings.value(AgentSettings.BACKEND),
-                settings.value(AgentSettings.PROBE),
+                settings.value(AgentSettings.BACKEND_URL),
+                settings.value(AgentSettings.PROBE_PATH),
                 http,
                 platform,
-                settings.value(AgentSettings.PLATFORM_POLL),
-                settings.value(AgentSettings.PEER_IDLE),
+                settings.value(AgentSettings.PLATFORM_POLL_INTERVAL),
+                settings.value(AgentSettings.PEER_IDLE_TIMEOUT),
                 settings.value(AgentSettings.STOP_TIMEOUT));
     }
 }
--- a/agent/src/main/java/org/tanagerhinge/agent/AgentSettings.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/AgentSettings.java
@@ -14,20 +14,21 @@
 public final class AgentSettings {
     static final Setting<ServerId> NAME =
             Setting.id("agent", "name", ServerId::of, "the backend server's id in the servers document");
-    static final Setting<InetSocketAddress> LISTEN = Setting.address("agent", "listen", null, "where routers connect");
-    static final Setting<InetSocketAddress> METRICS =
+    static final Setting<InetSocketAddress> LISTEN_ADDRESS =
+            Setting.address("agent", "listen", null, "where routers connect");
+    static final Setting<InetSocketAddress> METRICS_ADDRESS =
             Setting.address("agent", "metrics", null, "where /metrics, /healthz and /readyz are served");
     static final Setting<Duration> STOP_TIMEOUT =
             Setting.duration("agent", "stop_timeout", "10m", "how long a planned stop may take");
-    static final Setting<String> BACKEND =
+    static final Setting<String> BACKEND_URL =
             Setting.text("backend", "url", null, "base URL of the backend server, for example http://127.0.0.1:8000");
-    static final Setting<String> PROBE =
+    static final Setting<String> PROBE_PATH =
             Setting.text("backend", "probe", "/health", "path that answers while the backend server is alive");
-    static final Setting<String> PLATFORM =
+    static final Setting<String> PLATFORM_URL =
             Setting.text("platform", "url", null, "base URL of the platform's key-value service");
     static final Setting<Duration> PLATFORM_TIMEOUT =
             Setting.duration("platform", "timeout", "2s", "how long one call to the platform may take");
-    static final Setting<Duration> PLATFORM_POLL = Setting.duration(
+    static final Setting<Duration> PLATFORM_POLL_INTERVAL = Setting.duration(
             "platform", "poll", "1m", "how often the platform is read while routers are linked; 1s while none is");
     static final Setting<SharedSecret> SECRET = new Setting<>(
             "security",
@@ -36,15 +37,15 @@
             SharedSecret::of,
             java.util.Optional.empty(),
             "the secret that routers and agents share");
-    static final Setting<Integer> QUEUE_BOUND =
+    static final Setting<Integer> MAX_QUEUED_REQUESTS =
             Setting.whole("limits", "queue_bound", 1, 1_000_000, 1024, "requests queued in all");
-    static final Setting<Integer> QUEUE_MEGABYTES =
+    static final Setting<Integer> MAX_QUEUED_MEGABYTES =
             Setting.whole("limits", "queue_megabytes", 1, 4096, 64, "request bodies queued in all");
-    static final Setting<Integer> CONCURRENCY_START =
+    static final Setting<Integer> INITIAL_CONCURRENCY =
             Setting.whole("limits", "concurrency_start", 1, 4096, 8, "concurrency limit before anything is measured");
-    static final Setting<Integer> CONCURRENCY_MOST =
+    static final Setting<Integer> MAX_CONCURRENCY =
             Setting.whole("limits", "concurrency_most", 1, 4096, 512, "greatest concurrency limit");
-    static final Setting<Duration> PEER_IDLE =
+    static final Setting<Duration> PEER_IDLE_TIMEOUT =
             Setting.duration("links", "idle", "3s", "how long a router may be silent before it is taken for lost");
 
     private AgentSettings() {}
@@ -54,26 +55,26 @@
         return List.of(
                 DaemonCommand.REQUEST_LINES,
                 NAME,
-                LISTEN,
-                METRICS,
+                LISTEN_ADDRESS,
+                METRICS_ADDRESS,
                 STOP_TIMEOUT,
-                BACKEND,
-                PROBE,
-                PLATFORM,
+                BACKEND_URL,
+                PROBE_PATH,
+                PLATFORM_URL,
                 PLATFORM_TIMEOUT,
-                PLATFORM_POLL,
+                PLATFORM_POLL_INTERVAL,
                 SECRET,
-                QUEUE_BOUND,
-                QUEUE_MEGABYTES,
-                CONCURRENCY_START,
-                CONCURRENCY_MOST,
-                PEER_IDLE);
+                MAX_QUEUED_REQUESTS,
+                MAX_QUEUED_MEGABYTES,
+                INITIAL_CONCURRENCY,
+                MAX_CONCURRENCY,
+                PEER_IDLE_TIMEOUT);
     }
 
     static AgentOptions options(Settings settings) {
         return AgentOptions.defaults()
-                .withQueue(settings.value(QUEUE_BOUND), (long) settings.value(QUEUE_MEGABYTES) << 20)
+                .withQueue(settings.value(MAX_QUEUED_REQUESTS), (long) settings.value(MAX_QUEUED_MEGABYTES) << 20)
                 .withConcurrency(new AgentOptions.ConcurrencyPolicy.Adaptive(
-                        settings.value(CONCURRENCY_START), settings.value(CONCURRENCY_MOST)));
+                        settings.value(INITIAL_CONCURRENCY), settings.value(MAX_CONCURRENCY)));
     }
 }
--- a/agent/src/main/java/org/tanagerhinge/agent/BackendClient.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/BackendClient.java
@@ -21,22 +21,22 @@
 
 /** Calls the backend server over HTTP and hands on what it produces piece by piece. */
 final class BackendClient {
-    private static final Duration IDLE = Duration.ofMinutes(10);
+    private static final Duration IDLE_TIMEOUT = Duration.ofMinutes(10);
     private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(2);
-    private static final int FIRST_ERROR = 400;
-    private static final int FIRST_SERVER_ERROR = 500;
+    private static final int MIN_ERROR_STATUS = 400;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
 
     private final HttpClient client;
     private final String baseUrl;
     private final String probePath;
-    private final BackendEvents events;
+    private final BackendListener listener;
     private final Map<Long, Exchange> exchanges = new ConcurrentHashMap<>();
 
-    BackendClient(HttpClient client, String baseUrl, String probePath, BackendEvents events) {
+    BackendClient(HttpClient client, String baseUrl, String probePath, BackendListener listener) {
         this.client = client;
         this.baseUrl = baseUrl;
         this.probePath = probePath;
-        this.events = events;
+        this.listener = listener;
     }
 
     void start(Run run) {
@@ -52,39 +52,39 @@
         }
     }
 
-    void pause(long runId, boolean paused) {
+    void setPaused(long runId, boolean paused) {
         Exchange exchange = exchanges.get(runId);
         if (exchange != null) {
-            exchange.pause(paused);
+            exchange.setPaused(paused);
         }
     }
 
     /** Asks the backend server's health page; any answer below 500 is a sign of life. */
-    void probe(Consumer<Boolean> answered) {
+    void probe(Consumer<Boolean> onResult) {
         client.newRequest(baseUrl + probePath)
                 .timeout(PROBE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
-                .send(result -> answered.accept(
-                        result.isSucceeded() && result.getResponse().getStatus() < FIRST_SERVER_ERROR));
+                .send(result -> onResult.accept(
+                        result.isSucceeded() && result.getResponse().getStatus() < MIN_SERVER_ERROR_STATUS));
     }
 
     /** One call and what came back of it. */
     private final class Exchange implements Response.AsyncContentListener {
         private final Run run;
-        private final boolean model;
+        private final boolean modelCall;
         private final Request request;
-        private final CompletionStream stream = new CompletionStream();
+        private final CompletionStreamParser stream = new CompletionStreamParser();
         /** What goes on reading once a pause ends; held back while paused, so that the engine is slowed down. */
-        private final AtomicReference<Runnable> heldBack = new AtomicReference<>();
+        private final AtomicReference<Runnable> deferredDemand = new AtomicReference<>();
 
         private volatile boolean paused;
         private volatile boolean passThrough;
 
         Exchange(Run run) {
             this.run = run;
-            this.model = run.submit().work().call() instanceof BackendCall.ModelCall;
-            this.passThrough = !model;
-            this.request = build(run)
-                    .idleTimeout(IDLE.toMillis(), TimeUnit.MILLISECONDS)
+            this.modelCall = run.submit().work().call() instanceof BackendCall.ModelCall;
+            this.passThrough = !modelCall;
+            this.request = buildRequest(run)
+                    .idleTimeout(IDLE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
                     .onResponseHeaders(this::onHeaders)
                     .onResponseContentAsync(this);
         }
@@ -93,10 +93,10 @@
             request.send(this::onComplete);
         }
 
-        void pause(boolean next) {
-            paused = next;
-            if (!next) {
-                Runnable demand = heldBack.getAndSet(null);
+        void setPaused(boolean paused) {
+            paused = paused;
+            if (!paused) {
+                Runnable demand = deferredDemand.getAndSet(null);
                 if (demand != null) {
                     demand.run();
                 }
@@ -104,38 +104,40 @@
         }
 
         private void onHeaders(Response response) {
-            if (model && response.getStatus() >= FIRST_ERROR && response.getStatus() < FIRST_SERVER_ERROR) {
+            if (modelCall
+                    && response.getStatus() >= MIN_ERROR_STATUS
+                    && response.getStatus() < MIN_SERVER_ERROR_STATUS) {
                 passThrough = true;
             }
             if (passThrough) {
                 String type = response.getHeaders().get(HttpHeader.CONTENT_TYPE);
-                events.head(run.id(), response.getStatus(), type == null ? "application/octet-stream" : type);
+                listener.onHead(run.id(), response.getStatus(), type == null ? "application/octet-stream" : type);
             }
         }
 
         @Override
-        public void onContent(Response response, Content.Chunk chunk, Runnable demander) {
+        public void onContent(Response response, Content.Chunk chunk, Runnable demand) {
             ByteBuffer buffer = chunk.getByteBuffer();
             byte[] data = new byte[buffer.remaining()];
             buffer.get(data);
             if (passThrough) {
                 if (data.length > 0) {
-                    events.output(run.id(), data.length, data);
+                    listener.onOutput(run.id(), data.length, data);
                 }
-            } else if (response.getStatus() < FIRST_ERROR) {
+            } else if (response.getStatus() < MIN_ERROR_STATUS) {
                 stream.feed(data);
-                CompletionStream.Piece piece = stream.take();
-                if (piece.tokens() > 0) {
-                    events.output(run.id(), piece.tokens(), piece.text());
+                CompletionStreamParser.Output output = stream.takeOutput();
+                if (output.tokens() > 0) {
+                    listener.onOutput(run.id(), output.tokens(), output.text());
                 }
             }
             if (paused) {
-                heldBack.set(demander);
+                deferredDemand.set(demand);
                 if (!paused) {
-                    pause(false);
+                    setPaused(false);
                 }
             } else {
-                demander.run();
+                demand.run();
             }
         }
 
@@ -143,26 +145,26 @@
             exchanges.remove(run.id());
             if (result.isFailed()) {
                 Throwable cause = result.getFailure();
-                boolean began = !(cause instanceof ConnectException);
-                ResultCode code = began ? ResultCode.ENGINE_FAILED : ResultCode.SERVICE_ERROR;
-                events.failed(run.id(), began, code, "the backend server failed: " + cause);
+                boolean reachedBackend = !(cause instanceof ConnectException);
+                ResultCode code = reachedBackend ? ResultCode.ENGINE_FAILED : ResultCode.SERVICE_ERROR;
+                listener.onFailed(run.id(), reachedBackend, code, "the backend server failed: " + cause);
             } else if (passThrough) {
-                events.finished(run.id(), "complete");
-            } else if (result.getResponse().getStatus() >= FIRST_ERROR) {
+                listener.onFinished(run.id(), "complete");
+            } else if (result.getResponse().getStatus() >= MIN_ERROR_STATUS) {
                 String detail =
                         "the backend server answered " + result.getResponse().getStatus();
-                events.failed(run.id(), true, ResultCode.ENGINE_FAILED, detail);
-            } else if (stream.whole()) {
-                events.finished(run.id(), stream.finishReason());
+                listener.onFailed(run.id(), true, ResultCode.ENGINE_FAILED, detail);
+            } else if (stream.isComplete()) {
+                listener.onFinished(run.id(), stream.finishReason());
             } else {
                 // The connection ended in good order but the stream's end marker never came: an engine that died
                 // behind its own HTTP front looks just like this.
-                events.failed(run.id(), true, ResultCode.ANSWER_CUT, "the answer ended without its end marker");
+                listener.onFailed(run.id(), true, ResultCode.ANSWER_CUT, "the answer ended without its end marker");
             }
         }
     }
 
-    private Request build(Run run) {
+    private Request buildRequest(Run run) {
         return switch (run.submit().work().call()) {
             case BackendCall.ModelCall call ->
                 client.POST(baseUrl + "/v1/chat/completions")
--- a/agent/src/main/java/org/tanagerhinge/agent/CompletionRequest.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/CompletionRequest.java
@@ -25,7 +25,7 @@
             request.put("priority", submit.work().scheduling().tier());
             request.remove("stream_options");
             if (submit.resumeFromUnits() > 0) {
-                resume(request, submit);
+                appendPartialAnswer(request, submit);
             }
             return JSON.writeValueAsBytes(request);
         } catch (IOException e) {
@@ -33,14 +33,14 @@
         }
     }
 
-    private static void resume(ObjectNode request, Frame.Submit submit) {
+    private static void appendPartialAnswer(ObjectNode request, Frame.Submit submit) {
         JsonNode messages = request.path("messages");
         ((ArrayNode) messages).addObject().put("role", "assistant").put("content", submit.resumeText());
         request.put("continue_final_message", true);
         request.put("add_generation_prompt", false);
-        JsonNode most = request.path("max_tokens");
-        if (most.isInt()) {
-            request.put("max_tokens", Math.max(1, most.asInt() - submit.resumeFromUnits()));
+        JsonNode maxTokens = request.path("max_tokens");
+        if (maxTokens.isInt()) {
+            request.put("max_tokens", Math.max(1, maxTokens.asInt() - submit.resumeFromUnits()));
         }
     }
 }
--- a/agent/src/main/java/org/tanagerhinge/agent/CompletionStream.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/CompletionStreamParser.java
@@ -7,25 +7,25 @@
 import java.nio.charset.StandardCharsets;
 
 /** Takes the server-sent events of a chat completion apart: text, tokens, finish reason and end marker. */
-final class CompletionStream {
+final class CompletionStreamParser {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String DATA = "data:";
-    private static final String END = "[DONE]";
+    private static final String DATA_PREFIX = "data:";
+    private static final String END_MARKER = "[DONE]";
 
     /** Output since the last look. */
-    record Piece(long tokens, byte[] text) {}
+    record Output(long tokens, byte[] text) {}
 
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private final ByteArrayOutputStream text = new ByteArrayOutputStream();
     private long tokens;
     private String finishReason;
-    private boolean ended;
-    private boolean broken;
+    private boolean endMarkerSeen;
+    private boolean malformed;
 
     void feed(byte[] data) {
         for (byte b : data) {
             if (b == '\n') {
-                takeLine(line.toString(StandardCharsets.UTF_8));
+                parseLine(line.toString(StandardCharsets.UTF_8));
                 line.reset();
             } else {
                 line.write(b);
@@ -33,25 +33,25 @@
         }
     }
 
-    private void takeLine(String raw) {
-        if (!raw.startsWith(DATA)) {
+    private void parseLine(String raw) {
+        if (!raw.startsWith(DATA_PREFIX)) {
             return;
         }
-        String event = raw.substring(DATA.length()).trim();
-        if (event.equals(END)) {
-            ended = true;
+        String event = raw.substring(DATA_PREFIX.length()).trim();
+        if (event.equals(END_MARKER)) {
+            endMarkerSeen = true;
             return;
         }
         try {
-            takeEvent(JSON.readTree(event));
+            parseEvent(JSON.readTree(event));
         } catch (IOException e) {
-            broken = true;
+            malformed = true;
         }
     }
 
-    private void takeEvent(JsonNode event) {
+    private void parseEvent(JsonNode event) {
         if (event.has("error")) {
-            broken = true;
+            malformed = true;
             return;
         }
         JsonNode choice = event.path("choices").path(0);
@@ -66,16 +66,16 @@
     }
 
     /** Returns what came since the last call. */
-    Piece take() {
-        Piece piece = new Piece(tokens, text.toByteArray());
+    Output takeOutput() {
+        Output output = new Output(tokens, text.toByteArray());
         tokens = 0;
         text.reset();
-        return piece;
+        return output;
     }
 
     /** Returns whether the answer is whole: a finish reason and the end marker came, and nothing was broken. */
-    boolean whole() {
-        return ended && finishReason != null && !broken;
+    boolean isComplete() {
+        return endMarkerSeen && finishReason != null && !malformed;
     }
 
     String finishReason() {
--- a/harness/src/test/java/org/tanagerhinge/bench/WholePathTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/WholePathTest.java
@@ -204,7 +204,7 @@
         assertTrue(ended.join());
         LocalCluster.await(() ->
                 cluster.agent("engine-1").inFlight() + cluster.agent("engine-2").inFlight() == 0);
-        LocalCluster.await(() -> cluster.router("router-1").unwritten() == 0);
+        LocalCluster.await(() -> cluster.router("router-1").unwrittenResponses() == 0);
     }
 
     /**
--- a/router/src/main/java/org/tanagerhinge/router/ClaimCalls.java
+++ b/router/src/main/java/org/tanagerhinge/router/AsyncClaimStore.java
@@ -13,29 +13,29 @@
 import org.tanagerhinge.node.platform.PlatformException;
 
 /** Makes the calls for claims of keys on threads of their own, since the control thread must not wait for the store. */
-final class ClaimCalls implements AutoCloseable {
-    private static final Logger LOG = System.getLogger(ClaimCalls.class.getName());
+final class AsyncClaimStore implements AutoCloseable {
+    private static final Logger LOG = System.getLogger(AsyncClaimStore.class.getName());
     /** Claims that are with the platform's store at once: its answers take milliseconds, its rate is a few hundred. */
-    private static final int THREADS = 4;
+    private static final int CONCURRENT_CALLS = 4;
 
-    private final ExecutorService threads = Executors.newFixedThreadPool(
-            THREADS, Thread.ofPlatform().name("claims-", 0).daemon().factory());
+    private final ExecutorService executor = Executors.newFixedThreadPool(
+            CONCURRENT_CALLS, Thread.ofPlatform().name("claims-", 0).daemon().factory());
     private final ClaimStore store;
     private final NodeMetrics metrics;
 
-    ClaimCalls(ClaimStore store, NodeMetrics metrics) {
+    AsyncClaimStore(ClaimStore store, NodeMetrics metrics) {
         this.store = store;
         this.metrics = metrics;
     }
 
     /** Claims a key; {@code done} hears what the store decided, on one of these threads. */
-    void claim(ClaimEntry wanted, long expectedGeneration, Consumer<ClaimDecision> done) {
-        run(() -> done.accept(store.claim(wanted, expectedGeneration)));
+    void claim(ClaimEntry requested, long expectedGeneration, Consumer<ClaimDecision> onDecision) {
+        submit(() -> onDecision.accept(store.claim(requested, expectedGeneration)));
     }
 
     /** Gives a claim back, if the store answers. */
     void release(ClaimEntry claim) {
-        run(() -> {
+        submit(() -> {
             try {
                 store.release(claim);
             } catch (PlatformException e) {
@@ -45,9 +45,9 @@
         });
     }
 
-    private void run(Runnable call) {
+    private void submit(Runnable call) {
         try {
-            threads.execute(() -> {
+            executor.execute(() -> {
                 metrics.count("platform_call");
                 call.run();
             });
@@ -58,6 +58,6 @@
 
     @Override
     public void close() {
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/router/src/main/java/org/tanagerhinge/router/CallerHandler.java
+++ b/router/src/main/java/org/tanagerhinge/router/CallerHandler.java
@@ -31,52 +31,52 @@
     private static final String PROFILE_HEADER = "X-Tanagerhinge-Profile";
     private static final String KEY_HEADER = "Idempotency-Key";
     private static final String BEARER = "Bearer ";
-    private static final int LONGEST_HEADER = 8 * 1024;
+    private static final int MAX_HEADER_CHARS = 8 * 1024;
 
     private final RouterDaemon daemon;
-    private final int mostBodyBytes;
+    private final int maxBodyBytes;
 
-    CallerHandler(RouterDaemon daemon, int mostBodyBytes) {
+    CallerHandler(RouterDaemon daemon, int maxBodyBytes) {
         super(InvocationType.NON_BLOCKING);
         this.daemon = daemon;
-        this.mostBodyBytes = mostBodyBytes;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
         RequestId id = daemon.nextRequestId();
         String path = Request.getPathInContext(request);
-        CallerSession refusing = daemon.session(id, response, callback, new AnswerFormat.PassThrough(""));
-        Optional<RequestFailure> wrong = wrongHead(request, path);
-        if (wrong.isPresent()) {
-            daemon.countRefusal(wrong.get());
+        CallerSession plainSession = daemon.newSession(id, response, callback, new ResponseFormat.PassThrough(""));
+        Optional<RequestFailure> headFailure = validateHead(request, path);
+        if (headFailure.isPresent()) {
+            daemon.countFailure(headFailure.get());
             if (request.getLength() != 0) {
                 // The body stays unread, so the connection ends; a caller that isn't told sends its next request on it.
                 response.getHeaders().put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString());
             }
-            refusing.refuse(wrong.get());
+            plainSession.fail(headFailure.get());
             return true;
         }
         if (path.equals(MODELS)) {
-            models(request, refusing);
+            sendModelList(request, plainSession);
             return true;
         }
         Content.Source.asByteArrayAsync(
                 request,
-                mostBodyBytes,
+                maxBodyBytes,
                 Promise.Invocable.from(
                         InvocationType.NON_BLOCKING,
-                        body -> arrive(id, request, response, callback, path, body),
-                        failure -> refuseUnread(refusing, failure)));
+                        body -> onBody(id, request, response, callback, path, body),
+                        failure -> failUnreadBody(plainSession, failure)));
         return true;
     }
 
-    private Optional<RequestFailure> wrongHead(Request request, String path) {
+    private Optional<RequestFailure> validateHead(Request request, String path) {
         for (HttpField field : request.getHeaders()) {
-            if (field.getValue() != null && field.getValue().length() > LONGEST_HEADER) {
+            if (field.getValue() != null && field.getValue().length() > MAX_HEADER_CHARS) {
                 return Optional.of(RequestFailure.notRun(
                         ResultCode.HEADER_TOO_LONG,
-                        field.getName() + ": expected " + LONGEST_HEADER + " characters at the most, got "
+                        field.getName() + ": expected " + MAX_HEADER_CHARS + " characters at the most, got "
                                 + field.getValue().length()));
             }
         }
@@ -88,54 +88,54 @@
                             + "{service}/..."));
         }
         String method = request.getMethod();
-        String wanted = path.equals(COMPLETIONS) ? "POST" : path.equals(MODELS) ? "GET" : method;
-        if (!method.equals(wanted)) {
+        String expectedMethod = path.equals(COMPLETIONS) ? "POST" : path.equals(MODELS) ? "GET" : method;
+        if (!method.equals(expectedMethod)) {
             return Optional.of(
-                    RequestFailure.notRun(ResultCode.BAD_METHOD, method + " " + path + ": expected " + wanted));
+                    RequestFailure.notRun(ResultCode.BAD_METHOD, method + " " + path + ": expected " + expectedMethod));
         }
-        if (request.getLength() > mostBodyBytes) {
-            return Optional.of(tooLarge());
+        if (request.getLength() > maxBodyBytes) {
+            return Optional.of(bodyTooLarge());
         }
         return Optional.empty();
     }
 
-    private RequestFailure tooLarge() {
-        return RequestFailure.notRun(ResultCode.BODY_TOO_LARGE, "the body is over " + mostBodyBytes + " bytes");
+    private RequestFailure bodyTooLarge() {
+        return RequestFailure.notRun(ResultCode.BODY_TOO_LARGE, "the body is over " + maxBodyBytes + " bytes");
     }
 
-    private void refuseUnread(CallerSession session, Throwable failure) {
-        boolean tooLarge = failure instanceof IllegalStateException || failure instanceof IllegalArgumentException;
-        RequestFailure refusal = tooLarge
-                ? tooLarge()
-                : RequestFailure.notRun(ResultCode.MALFORMED_BODY, "the body cannot be read: " + failure.getMessage());
-        daemon.countRefusal(refusal);
-        session.refuse(refusal);
+    private void failUnreadBody(CallerSession session, Throwable cause) {
+        boolean tooLarge = cause instanceof IllegalStateException || cause instanceof IllegalArgumentException;
+        RequestFailure requestFailure = tooLarge
+                ? bodyTooLarge()
+                : RequestFailure.notRun(ResultCode.MALFORMED_BODY, "the body cannot be read: " + cause.getMessage());
+        daemon.countFailure(requestFailure);
+        session.fail(requestFailure);
     }
 
-    private void models(Request request, CallerSession session) {
-        Optional<String> list = daemon.models(keyHash(request));
+    private void sendModelList(Request request, CallerSession session) {
+        Optional<String> list = daemon.modelList(keyHash(request));
         if (list.isEmpty()) {
-            RequestFailure refusal = RequestFailure.notRun(ResultCode.UNKNOWN_KEY, ResultCode.UNKNOWN_KEY.meaning());
-            daemon.countRefusal(refusal);
-            session.refuse(refusal);
+            RequestFailure failure = RequestFailure.notRun(ResultCode.UNKNOWN_KEY, ResultCode.UNKNOWN_KEY.meaning());
+            daemon.countFailure(failure);
+            session.fail(failure);
             return;
         }
         session.head(200, "application/json");
-        session.piece(0, list.get().getBytes(StandardCharsets.UTF_8));
+        session.chunk(0, list.get().getBytes(StandardCharsets.UTF_8));
         session.complete("", 0);
     }
 
-    private void arrive(RequestId id, Request request, Response response, Callback callback, String path, byte[] body) {
+    private void onBody(RequestId id, Request request, Response response, Callback callback, String path, byte[] body) {
         try {
-            boolean model = path.equals(COMPLETIONS);
-            Parsed parsed = model ? parseCompletion(id, request, body) : parseService(id, request, path, body);
-            CallerSession session = daemon.session(id, response, callback, parsed.format());
+            boolean modelCall = path.equals(COMPLETIONS);
+            ParsedCall parsed = modelCall ? parseCompletion(id, request, body) : parseService(id, request, path, body);
+            CallerSession session = daemon.newSession(id, response, callback, parsed.format());
             channelOf(request).ifPresent(channel -> daemon.watch(id, channel));
-            daemon.arrived(parsed.arrival(), session);
+            daemon.submit(parsed.incoming(), session);
         } catch (MalformedCallException e) {
-            daemon.countRefusal(e.refusal());
-            daemon.session(id, response, callback, new AnswerFormat.PassThrough(""))
-                    .refuse(e.refusal());
+            daemon.countFailure(e.failure());
+            daemon.newSession(id, response, callback, new ResponseFormat.PassThrough(""))
+                    .fail(e.failure());
         }
     }
 
@@ -144,15 +144,16 @@
         return endPoint instanceof SocketChannelEndPoint socket ? Optional.of(socket.getChannel()) : Optional.empty();
     }
 
-    private record Parsed(IncomingRequest arrival, AnswerFormat format) {}
+    private record ParsedCall(IncomingRequest incoming, ResponseFormat format) {}
 
-    private static Parsed parseCompletion(RequestId id, Request request, byte[] body) throws MalformedCallException {
-        CompletionCall call = CompletionCall.parse(body);
+    private static ParsedCall parseCompletion(RequestId id, Request request, byte[] body)
+            throws MalformedCallException {
+        CompletionBody call = CompletionBody.parse(body);
         long created = Instant.now().getEpochSecond();
-        AnswerFormat format = call.stream()
-                ? new AnswerFormat.Streamed(id, call.model(), created)
-                : new AnswerFormat.Whole(id, call.model(), created, call.promptUnits());
-        IncomingRequest arrival = new IncomingRequest(
+        ResponseFormat format = call.stream()
+                ? new ResponseFormat.EventStream(id, call.model(), created)
+                : new ResponseFormat.Buffered(id, call.model(), created, call.promptUnits());
+        IncomingRequest incoming = new IncomingRequest(
                 id,
                 keyHash(request),
                 header(request, PROFILE_HEADER).orElse(""),
@@ -160,13 +161,13 @@
                 call.model(),
                 new BackendCall.ModelCall(body),
                 header(request, KEY_HEADER),
-                digest(COMPLETIONS, body),
+                requestDigest(COMPLETIONS, body),
                 call.promptUnits(),
                 call.affinity());
-        return new Parsed(arrival, format);
+        return new ParsedCall(incoming, format);
     }
 
-    private static Parsed parseService(RequestId id, Request request, String path, byte[] body)
+    private static ParsedCall parseService(RequestId id, Request request, String path, byte[] body)
             throws MalformedCallException {
         String rest = path.substring(SERVICES.length());
         int slash = rest.indexOf('/');
@@ -177,20 +178,20 @@
                     ResultCode.UNKNOWN_SERVICE, "path '" + path + "': expected " + SERVICES + "{service}/..."));
         }
         String query = request.getHttpURI().getQuery();
-        String full = query == null ? servicePath : servicePath + "?" + query;
+        String pathAndQuery = query == null ? servicePath : servicePath + "?" + query;
         String type = header(request, HttpHeader.CONTENT_TYPE.asString()).orElse("application/octet-stream");
-        IncomingRequest arrival = new IncomingRequest(
+        IncomingRequest incoming = new IncomingRequest(
                 id,
                 keyHash(request),
                 header(request, PROFILE_HEADER).orElse(""),
                 ServerKind.SERVICE,
                 service,
-                new BackendCall.ServiceCall(request.getMethod(), full, type, body),
+                new BackendCall.ServiceCall(request.getMethod(), pathAndQuery, type, body),
                 header(request, KEY_HEADER),
-                digest(request.getMethod() + " " + full, body),
+                requestDigest(request.getMethod() + " " + pathAndQuery, body),
                 0,
                 "");
-        return new Parsed(arrival, new AnswerFormat.PassThrough("application/octet-stream"));
+        return new ParsedCall(incoming, new ResponseFormat.PassThrough("application/octet-stream"));
     }
 
     private static Optional<String> header(Request request, String name) {
@@ -205,7 +206,7 @@
         return KeyDigest.sha256Hex(authorization.substring(BEARER.length()).trim());
     }
 
-    private static String digest(String what, byte[] body) {
-        return KeyDigest.sha256Hex(what + "\n" + new String(body, StandardCharsets.ISO_8859_1));
+    private static String requestDigest(String target, byte[] body) {
+        return KeyDigest.sha256Hex(target + "\n" + new String(body, StandardCharsets.ISO_8859_1));
     }
 }
--- a/router/src/main/java/org/tanagerhinge/router/CallerBook.java
+++ b/router/src/main/java/org/tanagerhinge/router/CallerRegistry.java
@@ -10,35 +10,35 @@
 import org.tanagerhinge.core.result.TanagerhingeException;
 
 /** The callers of requests in progress: their answers, and the connections that are watched for a hang-up. */
-final class CallerBook implements AutoCloseable {
+final class CallerRegistry implements AutoCloseable {
     private final HangupWatcher hangups;
     private final Map<RequestId, CallerSession> sessions = new ConcurrentHashMap<>();
     /** Requests whose answers are not written to the end; a planned stop waits for them too. */
-    private final Set<RequestId> unwritten = ConcurrentHashMap.newKeySet();
+    private final Set<RequestId> unwrittenResponses = ConcurrentHashMap.newKeySet();
 
-    private final Map<RequestId, SocketChannel> watched = new ConcurrentHashMap<>();
+    private final Map<RequestId, SocketChannel> watchedChannels = new ConcurrentHashMap<>();
 
-    private CallerBook(HangupWatcher hangups) {
+    private CallerRegistry(HangupWatcher hangups) {
         this.hangups = hangups;
     }
 
-    static CallerBook start() throws TanagerhingeException {
+    static CallerRegistry start() throws TanagerhingeException {
         try {
-            return new CallerBook(HangupWatcher.start());
+            return new CallerRegistry(HangupWatcher.start());
         } catch (IOException e) {
             throw new TanagerhingeException("no selector for watching callers", e);
         }
     }
 
     /** Watches a caller's connection until its request is finished. */
-    void watch(RequestId id, SocketChannel channel, Runnable hungUp) {
-        watched.put(id, channel);
-        hangups.watch(channel, hungUp);
+    void watch(RequestId id, SocketChannel channel, Runnable onHangup) {
+        watchedChannels.put(id, channel);
+        hangups.watch(channel, onHangup);
     }
 
-    void arrived(RequestId id, CallerSession session) {
+    void register(RequestId id, CallerSession session) {
         sessions.put(id, session);
-        unwritten.add(id);
+        unwrittenResponses.add(id);
     }
 
     Optional<CallerSession> session(RequestId id) {
@@ -46,22 +46,22 @@
     }
 
     /** Takes a request out whose answer is decided; it may still have to be written. */
-    Optional<CallerSession> finished(RequestId id) {
-        SocketChannel channel = watched.remove(id);
+    Optional<CallerSession> remove(RequestId id) {
+        SocketChannel channel = watchedChannels.remove(id);
         if (channel != null) {
-            hangups.forget(channel);
+            hangups.unwatch(channel);
         }
         return Optional.ofNullable(sessions.remove(id));
     }
 
     /** Notes that a request's answer is written to the end. */
-    void written(RequestId id) {
-        unwritten.remove(id);
+    void responseWritten(RequestId id) {
+        unwrittenResponses.remove(id);
     }
 
     /** Returns the number of requests whose answers are not written to the end. */
-    int unwritten() {
-        return unwritten.size();
+    int unwrittenResponses() {
+        return unwrittenResponses.size();
     }
 
     @Override
--- a/router/src/main/java/org/tanagerhinge/router/CallerSession.java
+++ b/router/src/main/java/org/tanagerhinge/router/CallerSession.java
@@ -25,23 +25,23 @@
     private static final String REQUEST_HEADER = "X-Tanagerhinge-Request";
 
     /** Told of what becomes of the writing. */
-    interface Progress {
-        void took(RequestId request, long units);
+    interface Listener {
+        void onUnitsWritten(RequestId request, long units);
 
-        void gone(RequestId request);
+        void onWriteFailed(RequestId request);
 
         /** Nothing more will be written. */
-        void ended(RequestId request);
+        void onFinished(RequestId request);
     }
 
     private sealed interface Event {
         record Head(int status, String contentType) implements Event {}
 
-        record Piece(long units, byte[] data) implements Event {}
+        record Chunk(long units, byte[] data) implements Event {}
 
         record Complete(String finishReason, long units) implements Event {}
 
-        record Refused(RequestFailure refusal) implements Event {}
+        record Failed(RequestFailure failure) implements Event {}
 
         /** The caller hung up; what is left is to let go of its connection. */
         record Abandoned() implements Event {}
@@ -50,96 +50,96 @@
     private final RequestId request;
     private final Response response;
     private final Callback callback;
-    private final Executor traffic;
-    private final Progress progress;
+    private final Executor trafficExecutor;
+    private final Listener listener;
     private final Queue<Event> events = new ConcurrentLinkedQueue<>();
-    private AnswerFormat format;
+    private ResponseFormat format;
     private boolean committed;
-    private boolean last;
-    private boolean cut;
-    private long writingUnits;
+    private boolean ending;
+    private boolean truncated;
+    private long unitsBeingWritten;
 
     CallerSession(
             RequestId request,
             Response response,
             Callback callback,
-            AnswerFormat format,
-            Executor traffic,
-            Progress progress) {
+            ResponseFormat format,
+            Executor trafficExecutor,
+            Listener listener) {
         this.request = request;
         this.response = response;
         this.callback = callback;
         this.format = format;
-        this.traffic = traffic;
-        this.progress = progress;
+        this.trafficExecutor = trafficExecutor;
+        this.listener = listener;
     }
 
     void head(int status, String contentType) {
-        add(new Event.Head(status, contentType));
+        enqueue(new Event.Head(status, contentType));
     }
 
-    void piece(long units, byte[] data) {
-        add(new Event.Piece(units, data));
+    void chunk(long units, byte[] data) {
+        enqueue(new Event.Chunk(units, data));
     }
 
     void complete(String finishReason, long units) {
-        add(new Event.Complete(finishReason, units));
+        enqueue(new Event.Complete(finishReason, units));
     }
 
-    void refuse(RequestFailure refusal) {
-        add(new Event.Refused(refusal));
+    void fail(RequestFailure failure) {
+        enqueue(new Event.Failed(failure));
     }
 
     /** Ends a session whose caller is gone; without this the server would keep the exchange for ever. */
     void abandon() {
-        add(new Event.Abandoned());
+        enqueue(new Event.Abandoned());
     }
 
-    private void add(Event event) {
+    private void enqueue(Event event) {
         events.add(event);
-        traffic.execute(this::iterate);
+        trafficExecutor.execute(this::iterate);
     }
 
     @Override
     protected Action process() {
-        if (last) {
+        if (ending) {
             return Action.SUCCEEDED;
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        writingUnits = 0;
-        boolean any = false;
-        while (!last && !events.isEmpty()) {
-            any = true;
-            take(events.poll(), out);
+        unitsBeingWritten = 0;
+        boolean anyEvent = false;
+        while (!ending && !events.isEmpty()) {
+            anyEvent = true;
+            apply(events.poll(), out);
         }
-        if (!any) {
+        if (!anyEvent) {
             return Action.IDLE;
         }
-        if (out.size() == 0 && !last) {
+        if (out.size() == 0 && !ending) {
             succeeded();
             return Action.SCHEDULED;
         }
-        if (cut && out.size() == 0) {
+        if (truncated && out.size() == 0) {
             return Action.SUCCEEDED;
         }
         committed = true;
-        response.write(last && !cut, ByteBuffer.wrap(out.toByteArray()), this);
+        response.write(ending && !truncated, ByteBuffer.wrap(out.toByteArray()), this);
         return Action.SCHEDULED;
     }
 
-    private void take(Event event, ByteArrayOutputStream out) {
+    private void apply(Event event, ByteArrayOutputStream out) {
         switch (event) {
             case Event.Head head -> {
-                format = new AnswerFormat.PassThrough(head.contentType());
+                format = new ResponseFormat.PassThrough(head.contentType());
                 response.setStatus(head.status());
                 commonHeaders();
             }
-            case Event.Piece piece -> {
+            case Event.Chunk chunk -> {
                 if (!committed) {
                     commonHeaders();
                 }
-                writingUnits += piece.units();
-                out.writeBytes(format.piece(piece.data()));
+                unitsBeingWritten += chunk.units();
+                out.writeBytes(format.chunk(chunk.data()));
             }
             case Event.Complete complete -> {
                 if (!committed) {
@@ -147,20 +147,20 @@
                     response.getHeaders().put(ResultCode.HEADER, Integer.toString(ResultCode.OK.number()));
                 }
                 out.writeBytes(format.end(complete.finishReason(), complete.units()));
-                last = true;
+                ending = true;
             }
             case Event.Abandoned abandoned -> {
-                last = true;
-                cut = true;
+                ending = true;
+                truncated = true;
             }
-            case Event.Refused refused -> {
-                last = true;
+            case Event.Failed failed -> {
+                ending = true;
                 if (committed || out.size() > 0) {
-                    cut = true;
-                    out.writeBytes(format.broken(refused.refusal()));
+                    truncated = true;
+                    out.writeBytes(format.truncated(failed.failure()));
                 } else {
-                    refusalHead(refused.refusal());
-                    out.writeBytes(ErrorBody.of(refused.refusal()).getBytes(StandardCharsets.UTF_8));
+                    failureHead(failed.failure());
+                    out.writeBytes(ErrorBody.of(failed.failure()).getBytes(StandardCharsets.UTF_8));
                 }
             }
         }
@@ -172,33 +172,33 @@
         response.getHeaders().put(REQUEST_HEADER, request.value());
     }
 
-    private void refusalHead(RequestFailure refusal) {
-        response.setStatus(refusal.code().httpStatus());
+    private void failureHead(RequestFailure failure) {
+        response.setStatus(failure.code().httpStatus());
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
         response.getHeaders().put(REQUEST_HEADER, request.value());
         response.getHeaders()
-                .put(ResultCode.HEADER, Integer.toString(refusal.code().number()));
-        if (refusal.code() == ResultCode.UNKNOWN_KEY) {
+                .put(ResultCode.HEADER, Integer.toString(failure.code().number()));
+        if (failure.code() == ResultCode.UNKNOWN_KEY) {
             response.getHeaders().put(HttpHeader.WWW_AUTHENTICATE, "Bearer");
         }
-        if (!refusal.retryAfter().isZero()) {
-            long seconds = Math.max(1, (refusal.retryAfter().toMillis() + 999) / 1000);
+        if (!failure.retryAfter().isZero()) {
+            long seconds = Math.max(1, (failure.retryAfter().toMillis() + 999) / 1000);
             response.getHeaders().put(HttpHeader.RETRY_AFTER, Long.toString(seconds));
         }
     }
 
     @Override
     protected void onSuccess() {
-        if (writingUnits > 0) {
-            progress.took(request, writingUnits);
-            writingUnits = 0;
+        if (unitsBeingWritten > 0) {
+            listener.onUnitsWritten(request, unitsBeingWritten);
+            unitsBeingWritten = 0;
         }
     }
 
     @Override
     protected void onCompleteSuccess() {
-        progress.ended(request);
-        if (cut) {
+        listener.onFinished(request);
+        if (truncated) {
             // Ending the response in good order would pass a broken answer off as whole.
             callback.failed(new EofException("the answer was cut"));
         } else {
@@ -208,8 +208,8 @@
 
     @Override
     protected void onCompleteFailure(Throwable cause) {
-        progress.gone(request);
-        progress.ended(request);
+        listener.onWriteFailed(request);
+        listener.onFinished(request);
         callback.failed(cause);
     }
 }
--- a/router/src/main/java/org/tanagerhinge/router/CompletionCall.java
+++ b/router/src/main/java/org/tanagerhinge/router/CompletionBody.java
@@ -14,38 +14,38 @@
  * @param promptUnits estimated tokens of the prompt
  * @param affinity names the first message, which requests with a common prefix share
  */
-record CompletionCall(String model, boolean stream, long promptUnits, String affinity) {
+record CompletionBody(String model, boolean stream, long promptUnits, String affinity) {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int CHARS_PER_TOKEN = 4;
-    private static final int AFFINITY_CHARS = 1024;
-    private static final int DIGEST_CHARS = 16;
+    private static final int AFFINITY_PREFIX_CHARS = 1024;
+    private static final int AFFINITY_DIGEST_CHARS = 16;
 
-    static CompletionCall parse(byte[] body) throws MalformedCallException {
-        JsonNode root = tree(body);
+    static CompletionBody parse(byte[] body) throws MalformedCallException {
+        JsonNode root = parseObject(body);
         JsonNode model = root.path("model");
         if (!model.isTextual()) {
-            throw malformed("model: expected a text, got " + shown(model));
+            throw malformed("model: expected a text, got " + typeName(model));
         }
         JsonNode messages = root.path("messages");
         if (!messages.isArray() || messages.isEmpty()) {
-            throw malformed("messages: expected an array of one message or more, got " + shown(messages));
+            throw malformed("messages: expected an array of one message or more, got " + typeName(messages));
         }
         JsonNode stream = root.path("stream");
         if (!stream.isMissingNode() && !stream.isBoolean()) {
-            throw malformed("stream: expected true or false, got " + shown(stream));
+            throw malformed("stream: expected true or false, got " + typeName(stream));
         }
         if (root.path("n").asInt(1) != 1) {
-            throw malformed("n: expected 1, got " + shown(root.path("n")));
+            throw malformed("n: expected 1, got " + typeName(root.path("n")));
         }
         long chars = 0;
         for (JsonNode message : messages) {
             chars += message.path("content").toString().length();
         }
-        return new CompletionCall(
+        return new CompletionBody(
                 model.asText(), stream.asBoolean(false), chars / CHARS_PER_TOKEN, affinity(model.asText(), messages));
     }
 
-    private static JsonNode tree(byte[] body) throws MalformedCallException {
+    private static JsonNode parseObject(byte[] body) throws MalformedCallException {
         try {
             JsonNode root = JSON.readTree(body);
             if (root == null || !root.isObject()) {
@@ -61,11 +61,11 @@
 
     private static String affinity(String model, JsonNode messages) {
         String first = messages.get(0).path("content").toString();
-        String prefix = first.substring(0, Math.min(first.length(), AFFINITY_CHARS));
-        return KeyDigest.sha256Hex(model + "\n" + prefix).substring(0, DIGEST_CHARS);
+        String prefix = first.substring(0, Math.min(first.length(), AFFINITY_PREFIX_CHARS));
+        return KeyDigest.sha256Hex(model + "\n" + prefix).substring(0, AFFINITY_DIGEST_CHARS);
     }
 
-    private static String shown(JsonNode node) {
+    private static String typeName(JsonNode node) {
         return node.isMissingNode() ? "nothing" : node.getNodeType().toString().toLowerCase(java.util.Locale.ROOT);
     }
 
--- a/router/src/main/java/org/tanagerhinge/router/HangupWatcher.java
+++ b/router/src/main/java/org/tanagerhinge/router/HangupWatcher.java
@@ -25,7 +25,7 @@
 
     private final Selector selector;
     private final Thread thread;
-    private final Queue<Runnable> orders = new ConcurrentLinkedQueue<>();
+    private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
 
     private HangupWatcher(Selector selector) {
         this.selector = selector;
@@ -40,12 +40,12 @@
 
     /** Calls back once, on the watcher's thread, if the caller hangs up before {@link #forget}. */
     void watch(SocketChannel channel, Runnable onHangup) {
-        order(() -> register(channel, onHangup));
+        enqueue(() -> register(channel, onHangup));
     }
 
     /** Stops watching a connection. */
-    void forget(SocketChannel channel) {
-        order(() -> {
+    void unwatch(SocketChannel channel) {
+        enqueue(() -> {
             SelectionKey key = channel.keyFor(selector);
             if (key != null) {
                 key.cancel();
@@ -53,15 +53,15 @@
         });
     }
 
-    private void order(Runnable order) {
-        orders.add(order);
+    private void enqueue(Runnable task) {
+        tasks.add(task);
         selector.wakeup();
     }
 
     private void register(SocketChannel channel, Runnable onHangup) {
         try {
-            SelectionKey former = channel.keyFor(selector);
-            if (former != null && !former.isValid()) {
+            SelectionKey previousKey = channel.keyFor(selector);
+            if (previousKey != null && !previousKey.isValid()) {
                 selector.selectNow();
             }
             channel.register(selector, SelectionKey.OP_READ, onHangup);
@@ -76,17 +76,17 @@
         try {
             while (selector.isOpen()) {
                 selector.select();
-                Runnable order = orders.poll();
-                while (order != null) {
-                    order.run();
-                    order = orders.poll();
+                Runnable task = tasks.poll();
+                while (task != null) {
+                    task.run();
+                    task = tasks.poll();
                 }
                 Iterator<SelectionKey> ready = selector.selectedKeys().iterator();
                 while (ready.hasNext()) {
                     SelectionKey key = ready.next();
                     ready.remove();
                     if (key.isValid()) {
-                        look(key);
+                        checkForHangup(key);
                     }
                 }
             }
@@ -97,7 +97,7 @@
         }
     }
 
-    private static void look(SelectionKey key) {
+    private static void checkForHangup(SelectionKey key) {
         SocketChannel channel = (SocketChannel) key.channel();
         Runnable onHangup = (Runnable) key.attachment();
         // Whatever it is, it is looked at once: bytes that the server has not read yet would keep the key ready.
--- a/router/src/main/java/org/tanagerhinge/router/MalformedCallException.java
+++ b/router/src/main/java/org/tanagerhinge/router/MalformedCallException.java
@@ -7,14 +7,14 @@
 final class MalformedCallException extends TanagerhingeException {
     private static final long serialVersionUID = 1L;
 
-    private final transient RequestFailure refusal;
+    private final transient RequestFailure failure;
 
-    MalformedCallException(RequestFailure refusal) {
-        super(refusal.detail());
-        this.refusal = refusal;
+    MalformedCallException(RequestFailure failure) {
+        super(failure.detail());
+        this.failure = failure;
     }
 
-    RequestFailure refusal() {
-        return refusal;
+    RequestFailure failure() {
+        return failure;
     }
 }
--- a/router/src/main/java/org/tanagerhinge/router/AnswerFormat.java
+++ b/router/src/main/java/org/tanagerhinge/router/ResponseFormat.java
@@ -8,23 +8,23 @@
 import org.tanagerhinge.core.result.RequestFailure;
 
 /** How an answer looks to its caller. Used by one thread at a time. */
-sealed interface AnswerFormat {
+sealed interface ResponseFormat {
     /** Returns the content type of the answer. */
     String contentType();
 
     /** Returns the bytes to write for a piece of answer; empty to write nothing yet. */
-    byte[] piece(byte[] data);
+    byte[] chunk(byte[] data);
 
     /** Returns the bytes to write at the end of a whole answer. */
     byte[] end(String finishReason, long units);
 
     /** Returns the bytes to write when the answer breaks off after pieces of it were written. */
-    byte[] broken(RequestFailure refusal);
+    byte[] truncated(RequestFailure failure);
 
     /** A plain service's answer, as it is. */
-    record PassThrough(String contentType) implements AnswerFormat {
+    record PassThrough(String contentType) implements ResponseFormat {
         @Override
-        public byte[] piece(byte[] data) {
+        public byte[] chunk(byte[] data) {
             return data;
         }
 
@@ -34,17 +34,17 @@
         }
 
         @Override
-        public byte[] broken(RequestFailure refusal) {
+        public byte[] truncated(RequestFailure failure) {
             return new byte[0];
         }
     }
 
     /** A chat completion as server-sent events. */
-    final class Streamed implements AnswerFormat {
+    final class EventStream implements ResponseFormat {
         private final CompletionJson json;
-        private boolean begun;
+        private boolean roleSent;
 
-        Streamed(RequestId request, String model, long created) {
+        EventStream(RequestId request, String model, long created) {
             this.json = new CompletionJson(request, model, created);
         }
 
@@ -54,11 +54,11 @@
         }
 
         @Override
-        public byte[] piece(byte[] data) {
+        public byte[] chunk(byte[] data) {
             ObjectNode delta = CompletionJson.MAPPER.createObjectNode();
-            if (!begun) {
+            if (!roleSent) {
                 delta.put("role", "assistant");
-                begun = true;
+                roleSent = true;
             }
             delta.put("content", new String(data, StandardCharsets.UTF_8));
             return event(json.chunk(delta, null).toString());
@@ -74,8 +74,8 @@
         }
 
         @Override
-        public byte[] broken(RequestFailure refusal) {
-            return event(ErrorBody.of(refusal));
+        public byte[] truncated(RequestFailure failure) {
+            return event(ErrorBody.of(failure));
         }
 
         private static byte[] event(String data) {
@@ -84,12 +84,12 @@
     }
 
     /** A chat completion in one piece. */
-    final class Whole implements AnswerFormat {
+    final class Buffered implements ResponseFormat {
         private final CompletionJson json;
         private final ByteArrayOutputStream text = new ByteArrayOutputStream();
         private final long promptUnits;
 
-        Whole(RequestId request, String model, long created, long promptUnits) {
+        Buffered(RequestId request, String model, long created, long promptUnits) {
             this.json = new CompletionJson(request, model, created);
             this.promptUnits = promptUnits;
         }
@@ -100,20 +100,20 @@
         }
 
         @Override
-        public byte[] piece(byte[] data) {
+        public byte[] chunk(byte[] data) {
             text.writeBytes(data);
             return new byte[0];
         }
 
         @Override
         public byte[] end(String finishReason, long units) {
-            return json.whole(text.toString(StandardCharsets.UTF_8), finishReason, promptUnits, units)
+            return json.completion(text.toString(StandardCharsets.UTF_8), finishReason, promptUnits, units)
                     .toString()
                     .getBytes(StandardCharsets.UTF_8);
         }
 
         @Override
-        public byte[] broken(RequestFailure refusal) {
+        public byte[] truncated(RequestFailure failure) {
             return new byte[0];
         }
     }
@@ -131,7 +131,7 @@
             return root;
         }
 
-        ObjectNode whole(String text, String finishReason, long promptUnits, long units) {
+        ObjectNode completion(String text, String finishReason, long promptUnits, long units) {
             ObjectNode root = root("chat.completion");
             ObjectNode choice = root.putArray("choices").addObject();
             choice.put("index", 0);
--- a/router/src/main/java/org/tanagerhinge/router/RouterDaemon.java
+++ b/router/src/main/java/org/tanagerhinge/router/RouterDaemon.java
@@ -63,7 +63,7 @@
 
 /** Joins the router's decisions to callers, agents and the platform. */
 public final class RouterDaemon implements Daemon {
-    private static final Duration TICK = Duration.ofMillis(50);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
     private static final int NETWORK_THREADS = 2;
     private static final int TRAFFIC_THREADS = 4;
 
@@ -78,35 +78,35 @@
             PlatformStore platform,
             Duration pollInterval,
             Duration peerIdle,
-            int mostBodyBytes,
+            int maxBodyBytes,
             Duration stopTimeout) {}
 
     private final Parts parts;
     private final RouterId self;
     private final NodeMetrics metrics = NodeMetrics.create();
     private final ControlLoop control;
-    private final EventLoopGroup network;
-    private final ExecutorService traffic;
-    private final ClaimCalls claims;
+    private final EventLoopGroup eventLoops;
+    private final ExecutorService trafficExecutor;
+    private final AsyncClaimStore claims;
     private final RouterCore core;
     private final AtomicLong requestNumbers = new AtomicLong();
-    private final Map<ServerId, LinkClient> clients = new HashMap<>();
+    private final Map<ServerId, LinkClient> linkClients = new HashMap<>();
     private final Map<ServerId, Link> links = new ConcurrentHashMap<>();
     private volatile ClusterConfig config = ClusterConfig.EMPTY;
-    private CallerBook callers;
-    private HttpServer http;
+    private CallerRegistry callers;
+    private HttpServer httpServer;
     private ConfigPoller poller;
 
     private RouterDaemon(Parts parts) {
         this.parts = parts;
         this.self = RouterId.of(parts.name(), Incarnation.next());
         this.control = ControlLoop.start("control-" + parts.name(), metrics);
-        this.network = new MultiThreadIoEventLoopGroup(
+        this.eventLoops = new MultiThreadIoEventLoopGroup(
                 NETWORK_THREADS, new DefaultThreadFactory("net-" + parts.name(), true), NioIoHandler.newFactory());
-        this.traffic = Executors.newFixedThreadPool(
+        this.trafficExecutor = Executors.newFixedThreadPool(
                 TRAFFIC_THREADS,
                 Thread.ofPlatform().name("traffic-", 0).daemon().factory());
-        this.claims = new ClaimCalls(ClaimStore.in(parts.platform(), SteadyClock.create()), metrics);
+        this.claims = new AsyncClaimStore(ClaimStore.in(parts.platform(), SteadyClock.create()), metrics);
         this.core = RouterCore.create(
                 self, parts.options(), SteadyClock.create(), RandomGenerator.getDefault(), new Port(), metrics);
     }
@@ -124,28 +124,28 @@
     }
 
     private void open() throws TanagerhingeException {
-        callers = CallerBook.start();
-        gauges();
-        http = HttpServer.start(
+        callers = CallerRegistry.start();
+        registerGauges();
+        httpServer = HttpServer.start(
                 parts.listen(),
                 Map.of(
                         "/metrics", () -> Page.text(200, metrics.text()),
                         "/healthz", () -> Page.text(200, "ok\n"),
-                        "/readyz", this::readiness),
-                new CallerHandler(this, parts.mostBodyBytes()));
+                        "/readyz", this::readinessPage),
+                new CallerHandler(this, parts.maxBodyBytes()));
         poller = ConfigPoller.start(
                 ConfigStore.in(parts.platform()),
                 parts::pollInterval,
                 found -> control.post(() -> core.applyConfig(found)),
                 metrics);
-        control.every(TICK, core::onTick);
+        control.every(TICK_INTERVAL, core::onTick);
         LogSetup.node(self.name());
         LogLine.of(LogEvent.STARTED)
-                .with(LogField.WHY, "serving callers on port " + http.port())
+                .with(LogField.WHY, "serving callers on port " + httpServer.port())
                 .write();
     }
 
-    private void gauges() {
+    private void registerGauges() {
         metrics.gauge("requests_in_progress", "Requests in progress", () -> control.ask(core::inFlight));
         metrics.gauge("links", "Agents connected", () -> control.ask(core::linkedAgents));
         metrics.gauge("servers_ejected", "Servers left alone for being slow", () -> control.ask(core::ejectedServers));
@@ -159,7 +159,7 @@
                 () -> revision().servers());
     }
 
-    private Page readiness() {
+    private Page readinessPage() {
         if (!control.ask(() -> core.config().isComplete())) {
             return Page.text(503, "no configuration has been read yet\n");
         }
@@ -182,13 +182,13 @@
     }
 
     /** Returns the number of requests whose answers are not written to the end. */
-    public int unwritten() {
-        return callers.unwritten();
+    public int unwrittenResponses() {
+        return callers.unwrittenResponses();
     }
 
     /** Returns the port that callers connect to. */
     public int port() {
-        return http.port();
+        return httpServer.port();
     }
 
     public NodeMetrics metrics() {
@@ -202,8 +202,8 @@
                 parts.name() + "-" + Long.toHexString(self.incarnation()) + "-" + requestNumbers.incrementAndGet());
     }
 
-    CallerSession session(RequestId id, Response response, Callback callback, AnswerFormat format) {
-        return new CallerSession(id, response, callback, format, traffic, new CallerProgress());
+    CallerSession newSession(RequestId id, Response response, Callback callback, ResponseFormat format) {
+        return new CallerSession(id, response, callback, format, trafficExecutor, new SessionListener());
     }
 
     void watch(RequestId id, SocketChannel channel) {
@@ -216,17 +216,17 @@
                 }));
     }
 
-    void arrived(IncomingRequest arrival, CallerSession session) {
-        callers.arrived(arrival.id(), session);
-        control.post(() -> core.onRequest(arrival));
+    void submit(IncomingRequest incoming, CallerSession session) {
+        callers.register(incoming.id(), session);
+        control.post(() -> core.onRequest(incoming));
     }
 
-    void countRefusal(RequestFailure refusal) {
-        metrics.count("refused_" + refusal.code().label());
+    void countFailure(RequestFailure failure) {
+        metrics.count("refused_" + failure.code().label());
     }
 
     /** Returns the list of models in the OpenAI shape, if the key belongs to a workspace. */
-    Optional<String> models(String keyHash) {
+    Optional<String> modelList(String keyHash) {
         ClusterConfig current = config;
         if (!current.profiles().workspacesByKeySha256().containsKey(keyHash)) {
             return Optional.empty();
@@ -245,20 +245,20 @@
         return Optional.of(root.toString());
     }
 
-    private final class CallerProgress implements CallerSession.Progress {
+    private final class SessionListener implements CallerSession.Listener {
         @Override
-        public void took(RequestId request, long units) {
+        public void onUnitsWritten(RequestId request, long units) {
             control.post(() -> core.onCallerConsumed(request, units));
         }
 
         @Override
-        public void gone(RequestId request) {
+        public void onWriteFailed(RequestId request) {
             control.post(() -> core.onCallerDisconnected(request));
         }
 
         @Override
-        public void ended(RequestId request) {
-            callers.written(request);
+        public void onFinished(RequestId request) {
+            callers.responseWritten(request);
         }
     }
 
@@ -271,7 +271,7 @@
 
     @Override
     public boolean drained() {
-        return control.ask(core::drained) && callers.unwritten() == 0;
+        return control.ask(core::drained) && callers.unwrittenResponses() == 0;
     }
 
     @Override
@@ -284,17 +284,17 @@
         if (poller != null) {
             poller.close();
         }
-        if (http != null) {
-            http.close();
+        if (httpServer != null) {
+            httpServer.close();
         }
-        clients.values().forEach(LinkClient::close);
-        network.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS);
+        linkClients.values().forEach(LinkClient::close);
+        eventLoops.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS);
         if (callers != null) {
             callers.close();
         }
         claims.close();
         control.close();
-        traffic.shutdown();
+        trafficExecutor.shutdown();
     }
 
     /** Carries out what the decisions ask for; called on the control thread. */
@@ -311,14 +311,15 @@
         }
 
         @Override
-        public void attemptFailed(RequestId request, ServerId server, ResultCode code, RunOutcome run, String why) {
-            RequestLog.attemptFailed(request, server, code, run, why);
+        public void attemptFailed(
+                RequestId request, ServerId server, ResultCode code, RunOutcome runOutcome, String reason) {
+            RequestLog.attemptFailed(request, server, code, runOutcome, reason);
         }
 
         @Override
-        public void claim(long sequence, ClaimEntry wanted, long expectedGeneration) {
+        public void claim(long sequence, ClaimEntry requested, long expectedGeneration) {
             claims.claim(
-                    wanted,
+                    requested,
                     expectedGeneration,
                     decision -> control.post(() -> core.onClaimDecided(sequence, decision)));
         }
@@ -332,23 +333,23 @@
         public void link(BackendServer server) {
             String address = server.agentAddress();
             int colon = address.lastIndexOf(':');
-            InetSocketAddress socket =
+            InetSocketAddress agentAddress =
                     new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
-            clients.put(
+            linkClients.put(
                     server.id(),
                     LinkClient.start(
-                            network,
-                            socket,
+                            eventLoops,
+                            agentAddress,
                             server.id().value(),
                             Peer.router(self.name(), self.incarnation()),
                             parts.secret(),
                             parts.peerIdle(),
-                            new PostedLinks()));
+                            new LinkEventForwarder()));
         }
 
         @Override
         public void unlink(ServerId server) {
-            LinkClient client = clients.remove(server);
+            LinkClient client = linkClients.remove(server);
             if (client != null) {
                 client.close();
             }
@@ -362,28 +363,29 @@
 
         @Override
         public void deliverChunk(RequestId request, long units, byte[] data) {
-            callers.session(request).ifPresent(session -> session.piece(units, data));
+            callers.session(request).ifPresent(session -> session.chunk(units, data));
         }
 
         @Override
         public void complete(RequestId request, String finishReason, long units) {
-            callers.finished(request).ifPresent(session -> session.complete(finishReason, units));
+            callers.remove(request).ifPresent(session -> session.complete(finishReason, units));
         }
 
         @Override
-        public void refuse(RequestId request, RequestFailure refusal) {
-            callers.finished(request).ifPresent(session -> session.refuse(refusal));
+        public void refuse(RequestId request, RequestFailure failure) {
+            callers.remove(request).ifPresent(session -> session.fail(failure));
         }
 
         @Override
         public void exchangeEnded(ExchangeOutcome outcome) {
-            callers.finished(outcome.request()).ifPresent(CallerSession::abandon);
+            callers.remove(outcome.request()).ifPresent(CallerSession::abandon);
             metrics.result(outcome.profile().value(), outcome.code().number());
             if (outcome.code().number() == 0) {
-                Duration between = outcome.units() > 1
+                Duration meanTokenGap = outcome.units() > 1
                         ? outcome.totalTime().minus(outcome.timeToFirstOutput()).dividedBy(outcome.units() - 1)
                         : Duration.ZERO;
-                metrics.times(outcome.profile().value(), outcome.timeToFirstOutput(), between, outcome.totalTime());
+                metrics.times(
+                        outcome.profile().value(), outcome.timeToFirstOutput(), meanTokenGap, outcome.totalTime());
             }
             RequestLog.ended(outcome);
         }
@@ -394,21 +396,21 @@
         }
 
         @Override
-        public void configApplied(ClusterConfig applied) {
-            config = applied;
+        public void configApplied(ClusterConfig newConfig) {
+            config = newConfig;
             LogLine.of(LogEvent.CONFIGURATION)
-                    .with(LogField.CONFIG, applied.revision().toString())
+                    .with(LogField.CONFIG, newConfig.revision().toString())
                     .write();
         }
     }
 
     /** Hands the events of connections to the control thread. */
-    private final class PostedLinks implements LinkListener {
+    private final class LinkEventForwarder implements LinkListener {
         @Override
         public void onUp(Link link) {
             control.post(() -> {
                 ServerId server = ServerId.of(link.peer().name());
-                if (!clients.containsKey(server)) {
+                if (!linkClients.containsKey(server)) {
                     link.close();
                     return;
                 }
--- a/router/src/main/java/org/tanagerhinge/router/RouterModule.java
+++ b/router/src/main/java/org/tanagerhinge/router/RouterModule.java
@@ -12,7 +12,7 @@
 /** Makes a router's parts from its settings. */
 @Module
 final class RouterModule {
-    private static final int KILOBYTE = 1024;
+    private static final int BYTES_PER_KILOBYTE = 1024;
 
     private final Settings settings;
 
@@ -30,20 +30,20 @@
     @Singleton
     PlatformStore platform(HttpClient http) {
         return EtcdStore.at(
-                http, settings.value(RouterSettings.PLATFORM), settings.value(RouterSettings.PLATFORM_TIMEOUT));
+                http, settings.value(RouterSettings.PLATFORM_URL), settings.value(RouterSettings.PLATFORM_TIMEOUT));
     }
 
     @Provides
     RouterDaemon.Parts parts(PlatformStore platform) {
         return new RouterDaemon.Parts(
                 settings.value(RouterSettings.NAME).value(),
-                settings.value(RouterSettings.LISTEN),
+                settings.value(RouterSettings.LISTEN_ADDRESS),
                 settings.value(RouterSettings.SECRET),
                 RouterSettings.options(settings),
                 platform,
-                RouterSettings.pollInterval(settings.value(RouterSettings.ROUTERS)),
-                settings.value(RouterSettings.PEER_IDLE),
-                settings.value(RouterSettings.BODY_KILOBYTES) * KILOBYTE,
+                RouterSettings.pollInterval(settings.value(RouterSettings.EXPECTED_ROUTERS)),
+                settings.value(RouterSettings.PEER_IDLE_TIMEOUT),
+                settings.value(RouterSettings.MAX_BODY_KILOBYTES) * BYTES_PER_KILOBYTE,
                 settings.value(RouterSettings.STOP_TIMEOUT));
     }
 }
--- a/router/src/main/java/org/tanagerhinge/router/RouterSettings.java
+++ b/router/src/main/java/org/tanagerhinge/router/RouterSettings.java
@@ -17,15 +17,15 @@
     static final Setting<ServerId> NAME = Setting.id("router", "name", ServerId::of, "name of this router");
     static final Setting<FailureDomain> DOMAIN =
             Setting.id("router", "failure_domain", FailureDomain::of, "failure domain of this host");
-    static final Setting<InetSocketAddress> LISTEN =
+    static final Setting<InetSocketAddress> LISTEN_ADDRESS =
             Setting.address("router", "listen", null, "where callers connect; also /metrics, /healthz and /readyz");
     static final Setting<Duration> STOP_TIMEOUT =
             Setting.duration("router", "stop_timeout", "10m", "how long a planned stop may take");
-    static final Setting<String> PLATFORM =
+    static final Setting<String> PLATFORM_URL =
             Setting.text("platform", "url", null, "base URL of the platform's key-value service");
     static final Setting<Duration> PLATFORM_TIMEOUT =
             Setting.duration("platform", "timeout", "2s", "how long one call to the platform may take");
-    static final Setting<Integer> ROUTERS = Setting.whole(
+    static final Setting<Integer> EXPECTED_ROUTERS = Setting.whole(
             "platform", "routers", 1, 100_000, 2, "about how many routers there are, which sets how often each polls");
     static final Setting<SharedSecret> SECRET = new Setting<>(
             "security",
@@ -34,16 +34,16 @@
             SharedSecret::of,
             Optional.empty(),
             "the secret that routers and agents share");
-    static final Setting<Integer> BODY_KILOBYTES =
+    static final Setting<Integer> MAX_BODY_KILOBYTES =
             Setting.whole("limits", "body_kilobytes", 1, 65_536, 4096, "largest request body");
-    static final Setting<Integer> MOST_REQUESTS =
+    static final Setting<Integer> MAX_REQUESTS =
             Setting.whole("limits", "requests", 1, 1_000_000, 20_000, "requests in progress at the most");
-    static final Setting<Integer> LINKS =
+    static final Setting<Integer> MAX_LINKS_PER_TARGET =
             Setting.whole("links", "per_target", 1, 10_000, 24, "agents connected for each model or service");
-    static final Setting<Duration> PEER_IDLE =
+    static final Setting<Duration> PEER_IDLE_TIMEOUT =
             Setting.duration("links", "idle", "3s", "how long an agent may be silent before it is taken for lost");
 
-    private static final int CALLS_PER_SECOND = 40;
+    private static final int POLL_CALLS_PER_SECOND = 40;
 
     private RouterSettings() {}
 
@@ -53,26 +53,26 @@
                 DaemonCommand.REQUEST_LINES,
                 NAME,
                 DOMAIN,
-                LISTEN,
+                LISTEN_ADDRESS,
                 STOP_TIMEOUT,
-                PLATFORM,
+                PLATFORM_URL,
                 PLATFORM_TIMEOUT,
-                ROUTERS,
+                EXPECTED_ROUTERS,
                 SECRET,
-                BODY_KILOBYTES,
-                MOST_REQUESTS,
-                LINKS,
-                PEER_IDLE);
+                MAX_BODY_KILOBYTES,
+                MAX_REQUESTS,
+                MAX_LINKS_PER_TARGET,
+                PEER_IDLE_TIMEOUT);
     }
 
     static RouterOptions options(Settings settings) {
         return RouterOptions.defaults(settings.value(DOMAIN))
-                .withMaxLinksPerTarget(settings.value(LINKS))
-                .withMaxExchanges(settings.value(MOST_REQUESTS));
+                .withMaxLinksPerTarget(settings.value(MAX_LINKS_PER_TARGET))
+                .withMaxExchanges(settings.value(MAX_REQUESTS));
     }
 
     /** Returns a polling interval at which all routers together make a fixed number of calls, a second at the least. */
     static Duration pollInterval(int routers) {
-        return Duration.ofMillis(Math.max(1000, routers * 1000L / CALLS_PER_SECOND));
+        return Duration.ofMillis(Math.max(1000, routers * 1000L / POLL_CALLS_PER_SECOND));
     }
 }
