--- a/agent/src/main/java/org/tanagerhinge/agent/BackendClient.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/BackendClient.java
@@ -93,9 +93,9 @@
             request.send(this::onComplete);
         }
 
-        void setPaused(boolean paused) {
-            paused = paused;
-            if (!paused) {
+        void setPaused(boolean pauseRequested) {
+            paused = pauseRequested;
+            if (!pauseRequested) {
                 Runnable demand = deferredDemand.getAndSet(null);
                 if (demand != null) {
                     demand.run();
