--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyFaultInjector.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyFaultInjector.java
@@ -80,7 +80,8 @@
 
     private void isolateFromPeers(DutyNode node, long durationMillis) {
         simulation.logEvent("cut from its peers " + node.name + " for " + durationMillis);
-        List<String> peerNames = simulation.nodes.stream().map(peer -> peer.name).toList();
+        List<String> peerNames =
+                simulation.nodes.stream().map(peer -> peer.name).toList();
         node.unreachablePeers.addAll(peerNames);
         simulation.schedule(durationMillis, node.unreachablePeers::clear);
     }
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyFaultScript.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyFaultScript.java
@@ -12,7 +12,10 @@
     private void onHolder(long atMillis, java.util.function.Consumer<DutyNode> fault) {
         simulation.schedule(
                 atMillis,
-                () -> simulation.nodes.stream().filter(DutyNode::isHolder).findFirst().ifPresent(fault));
+                () -> simulation.nodes.stream()
+                        .filter(DutyNode::isHolder)
+                        .findFirst()
+                        .ifPresent(fault));
     }
 
     /** Kills the holder; it starts again after a time. */
@@ -75,8 +78,12 @@
 
     /** Steps the clocks of some nodes for a time. */
     public DutyFaultScript stepClocks(long atMillis, long durationMillis, int nodeCount, long offsetMillis) {
-        simulation.schedule(atMillis, () -> simulation.nodes.subList(0, nodeCount).forEach(node -> node.clockOffsetMillis = offsetMillis));
-        simulation.schedule(atMillis + durationMillis, () -> simulation.nodes.subList(0, nodeCount).forEach(node -> node.clockOffsetMillis = 0));
+        simulation.schedule(
+                atMillis,
+                () -> simulation.nodes.subList(0, nodeCount).forEach(node -> node.clockOffsetMillis = offsetMillis));
+        simulation.schedule(
+                atMillis + durationMillis,
+                () -> simulation.nodes.subList(0, nodeCount).forEach(node -> node.clockOffsetMillis = 0));
         return this;
     }
 
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
@@ -73,7 +73,9 @@
         public long steadyMillis() {
             return simulation.bug == DeliberateBug.LEASE_BY_TIME_OF_DAY
                     ? simulation.nowMillis() + clockOffsetMillis
-                    : simulation.nowMillis() - totalSuspendedMillis - (suspended ? simulation.nowMillis() - suspendedAtMillis : 0);
+                    : simulation.nowMillis()
+                            - totalSuspendedMillis
+                            - (suspended ? simulation.nowMillis() - suspendedAtMillis : 0);
         }
 
         @Override
@@ -106,7 +108,15 @@
                 Duration.ofMillis(DutySimulation.REPORT_GRACE_MILLIS));
         medianClock = MedianClock.of(clock);
         usageCounter = UsageCounter.of(settings, medianClock, incarnation);
-        duty = UsageDuty.of(settings, clock, medianClock, new SimulatedDutyClient(), simulation.random, new LoggingListener(), usageCounter, incarnation);
+        duty = UsageDuty.of(
+                settings,
+                clock,
+                medianClock,
+                new SimulatedDutyClient(),
+                simulation.random,
+                new LoggingListener(),
+                usageCounter,
+                incarnation);
         usageReporter = UsageReporter.of(settings, clock, medianClock, simulation.random, usageCounter);
         repeat(incarnation, TICK_MILLIS, this::tick);
         repeat(incarnation, ANNOUNCEMENT_INTERVAL_MILLIS, this::announceToPeers);
@@ -187,7 +197,10 @@
         if (!finishing && simulation.chance(0.5)) {
             String workspace = "w" + simulation.randomBetween(0, 4);
             usageCounter.recordStart(workspace);
-            actualCounts.computeIfAbsent(Math.floorDiv(simulation.epochMillis(), DutySimulation.WINDOW_MILLIS), window -> new TreeMap<>())
+            actualCounts
+                    .computeIfAbsent(
+                            Math.floorDiv(simulation.epochMillis(), DutySimulation.WINDOW_MILLIS),
+                            window -> new TreeMap<>())
                     .merge(workspace, 1L, Long::sum);
         }
     }
@@ -195,7 +208,10 @@
     private List<DutyPeer> knownPeers() {
         List<DutyPeer> knownPeers = new ArrayList<>();
         peers.forEach((peer, last) -> knownPeers.add(new DutyPeer(
-                peer, last.incarnation(), clock.steadyMillis() - last.receivedAtMillis() <= PEER_TIMEOUT_MILLIS, last.announcement())));
+                peer,
+                last.incarnation(),
+                clock.steadyMillis() - last.receivedAtMillis() <= PEER_TIMEOUT_MILLIS,
+                last.announcement())));
         return knownPeers;
     }
 
@@ -206,7 +222,9 @@
         UsageReporter.findHolder(knownPeers).ifPresent(holder -> {
             long startedRequests = usageReporter.startedRequests();
             if (duty.fencingToken() == 0) {
-                usageReporter.pollReport(holder, knownPeers.size() + 1, finishing).ifPresent(report -> sendUsageReport(holder, report, startedRequests));
+                usageReporter
+                        .pollReport(holder, knownPeers.size() + 1, finishing)
+                        .ifPresent(report -> sendUsageReport(holder, report, startedRequests));
             }
         });
     }
@@ -228,7 +246,10 @@
                 () -> runWhenResumed(ownIncarnation, () -> {
                     if (acceptedCount[0].isPresent() && recipient.canReach(this)) {
                         usageReporter.acknowledged(
-                                holder.announcement().fencingToken(), report, startedRequests, acceptedCount[0].getAsLong());
+                                holder.announcement().fencingToken(),
+                                report,
+                                startedRequests,
+                                acceptedCount[0].getAsLong());
                     } else {
                         usageReporter.failed();
                     }
@@ -241,7 +262,9 @@
 
     private void announceToPeers() {
         DutyAnnouncement announcement = new DutyAnnouncement(
-                clock.wallClockMillis(), duty.preference(stopping || isRejectedByStore() ? 0 : capacity), duty.fencingToken());
+                clock.wallClockMillis(),
+                duty.preference(stopping || isRejectedByStore() ? 0 : capacity),
+                duty.fencingToken());
         for (DutyNode peer : simulation.nodes) {
             if (peer != this && peer.alive && canReach(peer) && !simulation.chance(0.01)) {
                 long ownIncarnation = incarnation;
@@ -249,7 +272,9 @@
                 simulation.schedule(
                         simulation.randomBetween(1, 10),
                         () -> peer.runWhenResumed(peerIncarnation, () -> {
-                            peer.peers.put(name, new ReceivedAnnouncement(ownIncarnation, announcement, peer.clock.steadyMillis()));
+                            peer.peers.put(
+                                    name,
+                                    new ReceivedAnnouncement(ownIncarnation, announcement, peer.clock.steadyMillis()));
                             peer.medianClock.recordPeerTime(name, announcement.wallClockMillis());
                         }));
             }
@@ -273,7 +298,8 @@
                     callback.accept(outcome);
                 }
             });
-            simulation.schedule(CALL_TIMEOUT_MILLIS, () -> settle.accept(new CallOutcome.Unknown<>("no answer in time")));
+            simulation.schedule(
+                    CALL_TIMEOUT_MILLIS, () -> settle.accept(new CallOutcome.Unknown<>("no answer in time")));
             return settle;
         }
 
@@ -293,7 +319,8 @@
                 }
                 T result = operation.get();
                 if (!lost) {
-                    simulation.schedule(simulation.randomBetween(1, 6), () -> settle.accept(new CallOutcome.Completed<>(result)));
+                    simulation.schedule(
+                            simulation.randomBetween(1, 6), () -> settle.accept(new CallOutcome.Completed<>(result)));
                 }
             });
         }
@@ -342,7 +369,11 @@
             Function<UsageCounts, CommitResult> alreadyCommitted = CommitResult.AlreadyCommitted::new;
             callStore(
                     () -> simulation.store.holdsDuty(fencingToken)
-                            ? simulation.store.commit(counts, pruneThrough).map(alreadyCommitted).orElseGet(CommitResult.Committed::new)
+                            ? simulation
+                                    .store
+                                    .commit(counts, pruneThrough)
+                                    .map(alreadyCommitted)
+                                    .orElseGet(CommitResult.Committed::new)
                             : new CommitResult.NotHolder(),
                     callback);
         }
@@ -385,14 +416,16 @@
                 return;
             }
             if (simulation.chance(endpoint.lateShare)) {
-                simulation.schedule(simulation.randomBetween(2_000, 12_000), () -> endpoint.report(name, sentToken, counts));
+                simulation.schedule(
+                        simulation.randomBetween(2_000, 12_000), () -> endpoint.report(name, sentToken, counts));
                 return;
             }
             boolean lost = simulation.chance(endpoint.unansweredShare);
             simulation.schedule(simulation.randomBetween(1, 10), () -> {
                 ReportResult result = endpoint.report(name, sentToken, counts);
                 if (!lost) {
-                    simulation.schedule(simulation.randomBetween(1, 10), () -> settle.accept(new CallOutcome.Completed<>(result)));
+                    simulation.schedule(
+                            simulation.randomBetween(1, 10), () -> settle.accept(new CallOutcome.Completed<>(result)));
                 }
             });
         }
@@ -417,7 +450,8 @@
 
         @Override
         public void usageReported(long fencingToken, UsageCounts counts, String outcome, long remainingLeaseMillis) {
-            simulation.logEvent(name + " reported window " + counts.window() + " with token " + fencingToken + ": " + outcome);
+            simulation.logEvent(
+                    name + " reported window " + counts.window() + " with token " + fencingToken + ": " + outcome);
         }
 
         @Override
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutySimulation.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutySimulation.java
@@ -21,8 +21,9 @@
     final DutyStoreModel store = new DutyStoreModel(this);
     final UsageEndpointModel usageEndpoint = new UsageEndpointModel(this);
     final List<DutyNode> nodes = new ArrayList<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>(
-            (a, b) -> a.atMillis() != b.atMillis() ? Long.compare(a.atMillis(), b.atMillis()) : Long.compare(a.number(), b.number()));
+    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.atMillis() != b.atMillis()
+            ? Long.compare(a.atMillis(), b.atMillis())
+            : Long.compare(a.number(), b.number()));
     private final List<String> log = new ArrayList<>();
     private long nowMillis;
     private long nextEventNumber;
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutySoak.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutySoak.java
@@ -57,7 +57,9 @@
         DutySimulation simulation = new DutySimulation(seed, seed % 2 == 0, bug);
         TreeMap<Long, Map<String, Long>> actualCounts = addNodes(simulation, (int) simulation.randomBetween(2, 8));
         int faultCount = 0;
-        for (long atMillis = FIRST_FAULT_MILLIS; atMillis < LAST_FAULT_MILLIS; atMillis += simulation.randomBetween(500, 9_000)) {
+        for (long atMillis = FIRST_FAULT_MILLIS;
+                atMillis < LAST_FAULT_MILLIS;
+                atMillis += simulation.randomBetween(500, 9_000)) {
             faultCount++;
             simulation.schedule(atMillis, () -> new DutyFaultInjector(simulation).injectRandomFault());
         }
@@ -84,16 +86,20 @@
         return actualCounts;
     }
 
-    private static Result result(DutySimulation simulation, long seed, int faults, TreeMap<Long, Map<String, Long>> actualCounts) {
+    private static Result result(
+            DutySimulation simulation, long seed, int faults, TreeMap<Long, Map<String, Long>> actualCounts) {
         int windows = 0;
         int correctWindows = 0;
-        long endWindow = (simulation.epochMillis() - 2 * DutySimulation.REPORT_GRACE_MILLIS) / DutySimulation.WINDOW_MILLIS;
-        for (Map.Entry<Long, Map<String, Long>> window : actualCounts.headMap(endWindow).entrySet()) {
+        long endWindow =
+                (simulation.epochMillis() - 2 * DutySimulation.REPORT_GRACE_MILLIS) / DutySimulation.WINDOW_MILLIS;
+        for (Map.Entry<Long, Map<String, Long>> window :
+                actualCounts.headMap(endWindow).entrySet()) {
             windows++;
             UsageCounts counts = simulation.usageEndpoint.acceptedInTime(window.getKey());
             correctWindows += counts != null && isWithinTolerance(window.getValue(), counts) ? 1 : 0;
         }
-        return new Result(seed, simulation.failure(), faults, simulation.usageEndpoint.receivedReports, windows, correctWindows);
+        return new Result(
+                seed, simulation.failure(), faults, simulation.usageEndpoint.receivedReports, windows, correctWindows);
     }
 
     private static boolean isWithinTolerance(Map<String, Long> actual, UsageCounts counts) {
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/UsageEndpointModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/UsageEndpointModel.java
@@ -67,7 +67,8 @@
         if (!node.equals(lastReporter)) {
             Long previousMillis = lastReportMillisByNode.get(node);
             if (previousMillis != null && simulation.nowMillis() - previousMillis < DutySimulation.LEASE_MILLIS) {
-                simulation.recordFailure(node + ", " + lastReporter + ", " + node + " acted within " + (simulation.nowMillis() - previousMillis) + " ms");
+                simulation.recordFailure(node + ", " + lastReporter + ", " + node + " acted within "
+                        + (simulation.nowMillis() - previousMillis) + " ms");
             }
         }
         lastReporter = node;
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/FaultInjector.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/FaultInjector.java
@@ -72,7 +72,8 @@
             case 9 -> sim.store.down(Duration.ofMillis(sim.random.nextInt((int) MAX_STORE_OUTAGE.toMillis())));
             case 10 -> sim.store.slowDown(Duration.ofMillis(500), duration);
             case 11 -> editConcurrently();
-            case 12 -> setDesiredState(agent, sim.chance(0.5) ? DesiredServerState.LEAVING : DesiredServerState.SERVING);
+            case 12 ->
+                setDesiredState(agent, sim.chance(0.5) ? DesiredServerState.LEAVING : DesiredServerState.SERVING);
             case 13 -> agent.restartGracefully();
             default -> router.restartGracefully();
         }
@@ -119,7 +120,8 @@
             sim.checks.check(
                     org.tanagerhinge.core.invariant.Invariant.CONFIG_FORWARD,
                     !both && current.revision() == baseRevision + 1,
-                    () -> "two edits from revision " + baseRevision + ": " + first + ", " + second + ", now " + current.revision());
+                    () -> "two edits from revision " + baseRevision + ": " + first + ", " + second + ", now "
+                            + current.revision());
         } catch (PlatformException | InvalidConfigException e) {
             sim.increment("operator_edit_failed");
         }
@@ -133,7 +135,8 @@
                     .filter(each -> each.id().value().equals(agent.name))
                     .findFirst()
                     .orElseThrow();
-            configStore.editServers(current.revision(), document -> document.withServer(server.withDesiredState(state)));
+            configStore.editServers(
+                    current.revision(), document -> document.withServer(server.withDesiredState(state)));
         } catch (PlatformException | InvalidConfigException e) {
             sim.increment("operator_edit_failed");
         }
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimBackend.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimBackend.java
@@ -143,7 +143,8 @@
         down = true;
         for (Stream stream : List.copyOf(streams.values())) {
             agent.deliver(
-                    agentStart, () -> agent.core().onFailed(stream.run.id(), true, ResultCode.ENGINE_FAILED, "crashed"));
+                    agentStart,
+                    () -> agent.core().onFailed(stream.run.id(), true, ResultCode.ENGINE_FAILED, "crashed"));
         }
         streams.clear();
         sim.scheduler.after(duration, () -> down = false);
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimRequest.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimRequest.java
@@ -96,7 +96,8 @@
                 Invariant.NOT_RUN_IS_TRUE,
                 Collections.disjoint(startedCalls, notRunCalls),
                 () -> this + " began for a call that was told not run");
-        boolean allNotRun = !reportedOutcomes.isEmpty() && reportedOutcomes.stream().allMatch(outcome -> outcome == RunOutcome.NOT_RUN);
+        boolean allNotRun = !reportedOutcomes.isEmpty()
+                && reportedOutcomes.stream().allMatch(outcome -> outcome == RunOutcome.NOT_RUN);
         boolean callsOpen = sim.openCallCount(this) > 0;
         sim.checks.check(
                 Invariant.NOT_RUN_IS_TRUE,
@@ -110,7 +111,7 @@
 
     @Override
     public String toString() {
-        return "request " + number + " (" + profile + (keyed ? ", keyed" : "") + ", length " + length + ", told " + reportedOutcomes
-                + ", begun " + starts + ")";
+        return "request " + number + " (" + profile + (keyed ? ", keyed" : "") + ", length " + length + ", told "
+                + reportedOutcomes + ", begun " + starts + ")";
     }
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimRouter.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimRouter.java
@@ -193,7 +193,9 @@
     public void claim(long sequence, ClaimEntry requested, long expectedGeneration) {
         int expectedStart = startNumber();
         sim.store.submitClaim(
-                requested, expectedGeneration, decision -> deliver(expectedStart, () -> core.onClaimDecided(sequence, decision)));
+                requested,
+                expectedGeneration,
+                decision -> deliver(expectedStart, () -> core.onClaimDecided(sequence, decision)));
     }
 
     @Override
@@ -230,7 +232,8 @@
         if (call != null) {
             call.receiveChunk(data);
             int expectedStart = startNumber();
-            sim.scheduler.after(call.consumeDelay(), () -> deliver(expectedStart, () -> core.onCallerConsumed(request, units)));
+            sim.scheduler.after(
+                    call.consumeDelay(), () -> deliver(expectedStart, () -> core.onCallerConsumed(request, units)));
         }
     }
 
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/Simulation.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/Simulation.java
@@ -151,7 +151,8 @@
     }
 
     void startCall(SimRequest request, int attempt) {
-        List<SimRouter> acceptingRouters = routers.stream().filter(SimRouter::acceptsCalls).toList();
+        List<SimRouter> acceptingRouters =
+                routers.stream().filter(SimRouter::acceptsCalls).toList();
         if (acceptingRouters.isEmpty()) {
             return;
         }
@@ -195,7 +196,10 @@
     }
 
     private void checkAllAnswered() {
-        checks.check(Invariant.WHOLE_ANSWER, openCallsById.isEmpty(), () -> "calls without any answer: " + openCallsById.values());
+        checks.check(
+                Invariant.WHOLE_ANSWER,
+                openCallsById.isEmpty(),
+                () -> "calls without any answer: " + openCallsById.values());
     }
 
     /** Once faults are over, every node must have the newest documents. */
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SoakMain.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SoakMain.java
@@ -91,9 +91,10 @@
         int faults = results.stream().mapToInt(DutySoak.Result::faults).sum();
         int reports = results.stream().mapToInt(DutySoak.Result::reports).sum();
         int windows = results.stream().mapToInt(DutySoak.Result::windows).sum();
-        int correctWindows = results.stream().mapToInt(DutySoak.Result::correctWindows).sum();
-        System.out.println(seeds + " seeds, " + faults + " faults, " + reports + " reports arrived, " + correctWindows + " of "
-                + windows + " windows right and in time, " + failed + " seeds failed");
+        int correctWindows =
+                results.stream().mapToInt(DutySoak.Result::correctWindows).sum();
+        System.out.println(seeds + " seeds, " + faults + " faults, " + reports + " reports arrived, " + correctWindows
+                + " of " + windows + " windows right and in time, " + failed + " seeds failed");
         return failed == 0 ? 0 : 1;
     }
 
--- a/harness/src/test/java/org/tanagerhinge/bench/duty/DutySoakTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/duty/DutySoakTest.java
@@ -63,8 +63,12 @@
         return Stream.of(
                 singleFault("holder killed", 1, script -> script.killHolder(31_000, 1_500)),
                 singleFault("holder suspended", 1, script -> script.suspendHolder(31_000, 6_000)),
-                singleFault("holder turned away by the store", 0, script -> script.isolateHolderFromStore(31_000, 9_000)),
-                singleFault("holder cut off from the platform", 0, script -> script.isolateHolderFromPlatform(31_000, 4_000)),
+                singleFault(
+                        "holder turned away by the store", 0, script -> script.isolateHolderFromStore(31_000, 9_000)),
+                singleFault(
+                        "holder cut off from the platform",
+                        0,
+                        script -> script.isolateHolderFromPlatform(31_000, 4_000)),
                 singleFault("two clocks of six stepped ahead", 0, script -> script.stepClocks(31_000, 8_000, 2, 2_000)),
                 singleFault("two clocks of six stepped back", 0, script -> script.stepClocks(31_000, 8_000, 2, -2_000)),
                 singleFault("store down, leases lapse", 0, script -> script.storeDown(31_000, 4_000, false)),
@@ -83,7 +87,9 @@
             DutySoak.Result result = DutySoak.runScript(seed, NODES, script);
             assertEquals("", result.failure());
             int wrongWindows = result.windows() - result.correctWindows();
-            assertTrue(wrongWindows <= maxWrongWindows, fault + ", seed " + seed + ": " + wrongWindows + " windows missing or wrong");
+            assertTrue(
+                    wrongWindows <= maxWrongWindows,
+                    fault + ", seed " + seed + ": " + wrongWindows + " windows missing or wrong");
         }
     }
 }
--- a/harness/src/test/java/org/tanagerhinge/bench/soak/SoakTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/soak/SoakTest.java
@@ -95,7 +95,8 @@
     void notRunAfterPartialAnswerViolatesInvariant() {
         SimCall call = call(new Simulation(1, false));
         call.receiveChunk("#1".getBytes(StandardCharsets.UTF_8));
-        assertViolates(Invariant.NOT_RUN_IS_TRUE, () -> call.receiveFailure(RequestFailure.notRun(ResultCode.QUEUE_FULL, "")));
+        assertViolates(
+                Invariant.NOT_RUN_IS_TRUE, () -> call.receiveFailure(RequestFailure.notRun(ResultCode.QUEUE_FULL, "")));
     }
 
     private static SimCall call(Simulation sim) {
