--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DeliberateBug.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DeliberateBug.java
@@ -1,18 +1,18 @@
 package org.tanagerhinge.bench.duty;
 
-/** A fault that is put into a run on purpose, to show that its checks would find it. */
+/** Lists the bugs that can be injected into a run to show that its checks detect them. */
 public enum DeliberateBug {
     NONE,
     /** All holders send the same fencing token. */
     NO_FENCE,
-    /** Counts are sent without having been fixed in the store. */
+    /** Counts are reported without having been committed in the store. */
     NO_FREEZE_OF_COUNTS,
-    /** A holder counts its lease by a clock that may be stepped back. */
+    /** A holder measures its lease with the wall clock, which may be stepped back. */
     LEASE_BY_TIME_OF_DAY,
-    /** A holder trusts its lease after its host was suspended. */
+    /** A holder does not notice that its host was suspended and relies on an expired lease. */
     BLIND_TO_SUSPENSION,
-    /** A node that lost the duty takes it again at once. */
+    /** A node that lost the duty claims it again without a cooldown. */
     RETAKE_AT_ONCE,
-    /** A new holder doesn't wait for calls of the one before it. */
+    /** Without fencing, a new holder does not wait for delayed calls of the previous holder. */
     NO_WAIT_WITHOUT_FENCE
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyFaultInjector.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyFaultInjector.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Draws one fault of a random run. */
+/** Injects random faults into a simulated run of duties. */
 final class DutyFaultInjector {
     private final DutySimulation simulation;
 
@@ -53,7 +53,7 @@
     }
 
     private void killAll(long durationMillis) {
-        simulation.logEvent("kill all");
+        simulation.logEvent("kill all nodes");
         for (DutyNode node : simulation.nodes) {
             node.kill();
             simulation.schedule(durationMillis + simulation.randomBetween(0, 500), () -> startIfDown(node));
@@ -61,25 +61,25 @@
     }
 
     private void suspend(DutyNode node, long durationMillis) {
-        simulation.logEvent("freeze " + node.name + " for " + durationMillis);
+        simulation.logEvent("suspend " + node.name + " for " + durationMillis);
         node.suspend();
         simulation.schedule(durationMillis, node::resume);
     }
 
     private void isolateFromStore(DutyNode node, long durationMillis) {
-        simulation.logEvent("cut from the store " + node.name + " for " + durationMillis);
+        simulation.logEvent("isolate from the store " + node.name + " for " + durationMillis);
         simulation.store.rejectedNodes.add(node.name);
         simulation.schedule(durationMillis, () -> simulation.store.rejectedNodes.remove(node.name));
     }
 
     private void isolateFromPlatform(DutyNode node, long durationMillis) {
-        simulation.logEvent("cut from the platform " + node.name + " for " + durationMillis);
+        simulation.logEvent("isolate from the platform " + node.name + " for " + durationMillis);
         simulation.usageEndpoint.isolatedNodes.add(node.name);
         simulation.schedule(durationMillis, () -> simulation.usageEndpoint.isolatedNodes.remove(node.name));
     }
 
     private void isolateFromPeers(DutyNode node, long durationMillis) {
-        simulation.logEvent("cut from its peers " + node.name + " for " + durationMillis);
+        simulation.logEvent("isolate from its peers " + node.name + " for " + durationMillis);
         List<String> peerNames =
                 simulation.nodes.stream().map(peer -> peer.name).toList();
         node.unreachablePeers.addAll(peerNames);
@@ -88,7 +88,7 @@
 
     private void stepClocks(long durationMillis) {
         long offsetMillis = (simulation.chance(0.5) ? 1 : -1) * (simulation.chance(0.5) ? 2_000 : 20_000);
-        simulation.logEvent("step clocks by " + offsetMillis + " for " + durationMillis);
+        simulation.logEvent("step wall clocks by " + offsetMillis + " for " + durationMillis);
         for (DutyNode node : simulation.nodes) {
             if (simulation.chance(0.3)) {
                 node.clockOffsetMillis = offsetMillis;
@@ -97,10 +97,13 @@
         }
     }
 
-    /** A host whose clock goes back just as it can't renew its lease has the most reason to believe that it still runs. */
+    /**
+     * Steps the clock of a node back while it cannot renew its lease; a lease on the wall clock would outlive its
+     * term.
+     */
     private void stepClockBackWhileIsolated(DutyNode node, long durationMillis) {
         isolateFromStore(node, durationMillis);
-        simulation.logEvent("step back the clock of " + node.name);
+        simulation.logEvent("step back the wall clock of " + node.name);
         node.clockOffsetMillis = -20_000;
         simulation.schedule(durationMillis, () -> node.clockOffsetMillis = 0);
     }
@@ -119,7 +122,7 @@
     }
 
     private void makeStoreUnreliable(long durationMillis) {
-        simulation.logEvent("store loses answers, is late or slow for " + durationMillis);
+        simulation.logEvent("store loses responses, delays calls or is slow for " + durationMillis);
         simulation.store.lostShare = 0.3;
         simulation.store.lateShare = simulation.chance(0.5) ? 0.3 : 0;
         simulation.store.slowMillis = simulation.chance(0.3) ? 200 : 0;
@@ -131,7 +134,7 @@
     }
 
     private void makePlatformUnreliable(long durationMillis) {
-        simulation.logEvent("platform late or silent for " + durationMillis);
+        simulation.logEvent("platform delays or does not answer calls for " + durationMillis);
         simulation.usageEndpoint.lateShare = simulation.chance(0.5) ? 0.5 : 0;
         simulation.usageEndpoint.unansweredShare = 0.3;
         simulation.usageEndpoint.down = simulation.chance(0.2);
@@ -143,7 +146,7 @@
     }
 
     private void restartInTurn() {
-        simulation.logEvent("stop in turn");
+        simulation.logEvent("restart all nodes in turn");
         long delayMillis = 0;
         for (DutyNode node : simulation.nodes) {
             simulation.schedule(delayMillis, () -> node.stop(400));
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyFaultScript.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyFaultScript.java
@@ -1,6 +1,6 @@
 package org.tanagerhinge.bench.duty;
 
-/** Faults at set times of a run, for tests of a single one. */
+/** Schedules faults at given times of a simulated run, for tests of single faults; all times in milliseconds. */
 public final class DutyFaultScript {
     private final DutySimulation simulation;
 
@@ -8,7 +8,7 @@
         this.simulation = simulation;
     }
 
-    /** Runs a fault of the holder at a time. */
+    /** Applies a fault to the node that holds the duty at the given time, if there is one. */
     private void onHolder(long atMillis, java.util.function.Consumer<DutyNode> fault) {
         simulation.schedule(
                 atMillis,
@@ -18,7 +18,7 @@
                         .ifPresent(fault));
     }
 
-    /** Kills the holder; it starts again after a time. */
+    /** Kills the holder and restarts it after the duration. */
     public DutyFaultScript killHolder(long atMillis, long durationMillis) {
         onHolder(atMillis, node -> {
             node.kill();
@@ -27,7 +27,7 @@
         return this;
     }
 
-    /** Suspends the holder. */
+    /** Suspends the host of the holder for the duration. */
     public DutyFaultScript suspendHolder(long atMillis, long durationMillis) {
         onHolder(atMillis, node -> {
             node.suspend();
@@ -36,7 +36,7 @@
         return this;
     }
 
-    /** The store turns the holder away. */
+    /** Makes the store reject all calls of the holder for the duration. */
     public DutyFaultScript isolateHolderFromStore(long atMillis, long durationMillis) {
         onHolder(atMillis, node -> {
             simulation.store.rejectedNodes.add(node.name);
@@ -45,7 +45,7 @@
         return this;
     }
 
-    /** The platform's address can't be reached from the holder. */
+    /** Makes the platform's usage endpoint unreachable from the holder for the duration. */
     public DutyFaultScript isolateHolderFromPlatform(long atMillis, long durationMillis) {
         onHolder(atMillis, node -> {
             simulation.usageEndpoint.isolatedNodes.add(node.name);
@@ -54,7 +54,7 @@
         return this;
     }
 
-    /** Kills all nodes. */
+    /** Kills all nodes and restarts them after the duration. */
     public DutyFaultScript killAll(long atMillis, long durationMillis) {
         simulation.schedule(
                 atMillis,
@@ -65,7 +65,7 @@
         return this;
     }
 
-    /** Stops all nodes in turn, each to start again. */
+    /** Stops all nodes gracefully in turn and restarts each. */
     public DutyFaultScript restartInTurn(long atMillis, long gapMillis) {
         long nextAtMillis = atMillis;
         for (DutyNode node : simulation.nodes) {
@@ -76,7 +76,7 @@
         return this;
     }
 
-    /** Steps the clocks of some nodes for a time. */
+    /** Steps the wall clocks of the first nodes for the duration. */
     public DutyFaultScript stepClocks(long atMillis, long durationMillis, int nodeCount, long offsetMillis) {
         simulation.schedule(
                 atMillis,
@@ -87,7 +87,7 @@
         return this;
     }
 
-    /** The store is down; leases pause or lapse. */
+    /** Stops the store for the duration; leases either pause or expire meanwhile. */
     public DutyFaultScript storeDown(long atMillis, long durationMillis, boolean leasesPause) {
         simulation.schedule(atMillis, () -> {
             simulation.store.down = true;
@@ -100,14 +100,14 @@
         return this;
     }
 
-    /** A share of the store's calls are carried out late and never answered. */
+    /** Makes the store execute a share of its calls late and leave them unanswered. */
     public DutyFaultScript storeLate(long atMillis, long durationMillis, double share) {
         simulation.schedule(atMillis, () -> simulation.store.lateShare = share);
         simulation.schedule(atMillis + durationMillis, () -> simulation.store.lateShare = 0);
         return this;
     }
 
-    /** A share of the reports are left unanswered and carried out seconds later. */
+    /** Makes the platform process a share of the reports seconds late and leave them unanswered. */
     public DutyFaultScript platformLate(long atMillis, long durationMillis, double share) {
         simulation.schedule(atMillis, () -> simulation.usageEndpoint.lateShare = share);
         simulation.schedule(atMillis + durationMillis, () -> simulation.usageEndpoint.lateShare = 0);
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
@@ -27,7 +27,10 @@
 import org.tanagerhinge.core.duty.UsageReport;
 import org.tanagerhinge.core.duty.UsageReporter;
 
-/** A host with the real decision code of duties, its clocks, and its links to the store, the platform and its peers. */
+/**
+ * Simulates a node that runs the real decision code of duties, with its clocks and its calls to store, platform and
+ * peers.
+ */
 final class DutyNode {
     private static final long TICK_MILLIS = 150;
     private static final long ANNOUNCEMENT_INTERVAL_MILLIS = 250;
@@ -41,7 +44,7 @@
     private final int capacity;
     private final Map<String, ReceivedAnnouncement> peers = new HashMap<>();
     final Set<String> unreachablePeers = new HashSet<>();
-    /** True counts by window and workspace, as servers see them. */
+    /** Requests that were actually started, by window and workspace. */
     private final TreeMap<Long, Map<String, Long>> actualCounts;
 
     private long incarnation;
@@ -86,7 +89,7 @@
         }
     };
 
-    // ---- life
+    // ---- process lifecycle
 
     void start() {
         alive = true;
@@ -132,7 +135,7 @@
                 }));
     }
 
-    /** Runs a task of one run of the process: now, after the host has woken, or never. */
+    /** Runs a task now or when the host resumes; drops it if the process has since ended or been restarted. */
     private void runWhenResumed(long expectedIncarnation, Runnable task) {
         if (!alive || expectedIncarnation != incarnation) {
             return;
@@ -175,7 +178,10 @@
         }
     }
 
-    /** A planned stop: gives the duty back, goes on serving for a while, tells its last counts, ends. */
+    /**
+     * Stops gracefully: releases the duty, serves requests for {@code servingMillis}, sends the final report and
+     * exits.
+     */
     void stop(long servingMillis) {
         if (!isRunning()) {
             return;
@@ -191,7 +197,7 @@
         return alive && duty != null && duty.fencingToken() > 0;
     }
 
-    // ---- what it does
+    // ---- requests, reports and announcements
 
     private void startRequest() {
         if (!finishing && simulation.chance(0.5)) {
@@ -285,10 +291,10 @@
         return simulation.store.rejectedNodes.contains(name);
     }
 
-    // ---- its calls
+    // ---- calls to the store and the platform
 
     private final class SimulatedDutyClient implements DutyClient {
-        /** Returns what takes the answer of a call that is made now: the first one, or none if its time is up before. */
+        /** Returns a consumer that passes on the first outcome of a call, or an unknown outcome after the timeout. */
         private <T> Consumer<CallOutcome<T>> firstOutcomeOrTimeout(Consumer<CallOutcome<T>> callback) {
             long ownIncarnation = incarnation;
             boolean[] settled = {false};
@@ -299,11 +305,11 @@
                 }
             });
             simulation.schedule(
-                    CALL_TIMEOUT_MILLIS, () -> settle.accept(new CallOutcome.Unknown<>("no answer in time")));
+                    CALL_TIMEOUT_MILLIS, () -> settle.accept(new CallOutcome.Unknown<>("no response within the timeout")));
             return settle;
         }
 
-        /** Makes a call of the store: it may be lost on either way, or be carried out late. */
+        /** Calls the store; the request or the response may be lost, or the operation may be executed late. */
         private <T> void callStore(Supplier<T> operation, Consumer<CallOutcome<T>> callback) {
             Consumer<CallOutcome<T>> settle = firstOutcomeOrTimeout(callback);
             DutyStoreModel store = simulation.store;
@@ -408,7 +414,7 @@
         public void reportUsage(long fencingToken, UsageCounts counts, Consumer<CallOutcome<ReportResult>> callback) {
             long sentToken = simulation.bug == DeliberateBug.NO_FENCE ? 1 : fencingToken;
             if (!simulation.store.holdsDuty(fencingToken)) {
-                simulation.recordFailure(name + " reports with token " + fencingToken + " though its lease has ended");
+                simulation.recordFailure(name + " sends a report with token " + fencingToken + " after its lease has expired");
             }
             Consumer<CallOutcome<ReportResult>> settle = firstOutcomeOrTimeout(callback);
             UsageEndpointModel endpoint = simulation.usageEndpoint;
@@ -431,21 +437,21 @@
         }
     }
 
-    /** What happens to the duty, in the run's log. */
+    /** Writes the events of the duty to the log of the run. */
     private final class LoggingListener implements DutyListener {
         @Override
         public void dutyAcquired(long fencingToken) {
-            simulation.logEvent(name + " holds with token " + fencingToken);
+            simulation.logEvent(name + " acquired the duty with token " + fencingToken);
         }
 
         @Override
         public void dutyLost(long fencingToken, String reason) {
-            simulation.logEvent(name + " lost token " + fencingToken + ": " + reason);
+            simulation.logEvent(name + " lost the duty with token " + fencingToken + ": " + reason);
         }
 
         @Override
         public void usageCommitted(long fencingToken, UsageCounts counts, int completeNodes, int knownNodes) {
-            simulation.logEvent(name + " fixed " + counts + ", heard " + completeNodes + " of " + knownNodes);
+            simulation.logEvent(name + " committed " + counts + ", complete reports from " + completeNodes + " of " + knownNodes);
         }
 
         @Override
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutySimulation.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutySimulation.java
@@ -5,12 +5,12 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** One run: simulated time, the events that are due, the nodes, and what went wrong. */
+/** Runs the events of one simulation in the order of simulated time and keeps its nodes, log and first failure. */
 final class DutySimulation {
     static final long WINDOW_MILLIS = 5_000;
     static final long REPORT_GRACE_MILLIS = 10_000;
     static final long LEASE_MILLIS = 3_000;
-    /** Simulated moment at which a run begins, in milliseconds since 1970. */
+    /** Simulated start of a run, in milliseconds since the epoch. */
     static final long START_EPOCH_MILLIS = 1_700_000_000_000L;
 
     private record Event(long atMillis, long number, Runnable task) {}
@@ -39,7 +39,7 @@
         return nowMillis;
     }
 
-    /** Returns true time. */
+    /** Returns the simulated time, free of clock steps, in milliseconds since the epoch. */
     long epochMillis() {
         return START_EPOCH_MILLIS + nowMillis;
     }
@@ -48,7 +48,7 @@
         events.add(new Event(nowMillis + delayMillis, nextEventNumber++, task));
     }
 
-    /** Runs all events up to a time. */
+    /** Runs events up to a simulated time, or until the first failure. */
     void runUntil(long endMillis) {
         while (!events.isEmpty() && events.peek().atMillis() <= endMillis && failure.isEmpty()) {
             Event event = events.poll();
@@ -58,7 +58,7 @@
         nowMillis = endMillis;
     }
 
-    /** Returns a number from {@code min} to less than {@code exclusiveMax}. */
+    /** Returns a random number from {@code min} (inclusive) to {@code exclusiveMax}. */
     long randomBetween(long min, long exclusiveMax) {
         return random.nextLong(min, exclusiveMax);
     }
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutySoak.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutySoak.java
@@ -8,9 +8,10 @@
 import org.tanagerhinge.core.duty.UsageCounts;
 
 /**
- * Random runs of duties under faults in series and overlapping: kills of one node and of all, suspensions, cuts from the store,
- * the platform and peers, stepped clocks, planned stops in a row, a store that is down, slow, loses answers or carries calls out
- * late, and a platform that does.
+ * Runs seeded simulations of duties under sequential and overlapping faults.
+ *
+ * <p>Faults are killed and suspended nodes, isolation from the store, the platform or peers, clock steps, rolling
+ * restarts, and a store or platform that is down, slow, loses responses or executes calls late.
  */
 public final class DutySoak {
     private static final long RUN_MILLIS = 90_000;
@@ -21,11 +22,12 @@
     private DutySoak() {}
 
     /**
-     * What became of a run.
+     * Describes the result of one run.
      *
-     * @param failure what was broken, empty if nothing was
-     * @param windows windows that ended well before the run did
-     * @param correctWindows of these, windows whose report came in time and within the tolerance
+     * @param failure first violated check, empty if none
+     * @param reports reports that reached the platform
+     * @param windows windows that ended long enough before the end of the run to be reported
+     * @param correctWindows of these, windows reported in time and within the tolerance
      */
     public record Result(long seed, String failure, int faults, int reports, int windows, int correctWindows) {
         public boolean passed() {
@@ -33,12 +35,12 @@
         }
     }
 
-    /** Plays one seed; even ones on a platform that checks fencing tokens, odd ones on one that doesn't. */
+    /** Runs one seed; the platform enforces fencing tokens for even seeds only. */
     public static Result run(long seed, DeliberateBug bug) {
         return simulate(seed, bug, new ArrayList<>());
     }
 
-    /** Plays a row of seeds on all processors. */
+    /** Runs consecutive seeds in parallel and returns their results in order. */
     public static List<Result> runAll(long firstSeed, int seedCount, DeliberateBug bug) {
         return LongStream.range(firstSeed, firstSeed + seedCount)
                 .parallel()
@@ -46,7 +48,7 @@
                 .toList();
     }
 
-    /** Returns what happened in the run of a seed. */
+    /** Runs a seed and returns its event log. */
     public static List<String> explain(long seed, DeliberateBug bug) {
         List<String> log = new ArrayList<>();
         simulate(seed, bug, log);
@@ -68,7 +70,7 @@
         return result(simulation, seed, faultCount, actualCounts);
     }
 
-    /** Plays nodes without random faults; {@code script} may add some. */
+    /** Runs nodes without random faults; {@code script} may schedule faults. */
     public static Result runScript(long seed, int nodeCount, java.util.function.Consumer<DutyFaultScript> script) {
         DutySimulation simulation = new DutySimulation(seed, true, DeliberateBug.NONE);
         TreeMap<Long, Map<String, Long>> actualCounts = addNodes(simulation, nodeCount);
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyStoreModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyStoreModel.java
@@ -12,7 +12,7 @@
 import org.tanagerhinge.core.duty.UsageCounts;
 import org.tanagerhinge.core.duty.UsageReport;
 
-/** The platform's store, as far as duties use it: one revision, leases, writes under conditions; and its faults. */
+/** Simulates the store calls that duties use: leases, conditional writes with one revision, and injected faults. */
 final class DutyStoreModel {
     private final DutySimulation simulation;
     private final Map<Long, Long> expiryMillisByLease = new HashMap<>();
@@ -35,7 +35,7 @@
         this.simulation = simulation;
     }
 
-    /** Leases go on or lapse while the store is down; this moves their ends by the time for which they paused. */
+    /** Extends all leases by the length of an outage if leases pause while the store is down. */
     void recordOutage(long outageMillis) {
         if (leasesPause) {
             expiryMillisByLease.replaceAll((lease, expiryMillis) -> expiryMillis + outageMillis);
@@ -89,7 +89,7 @@
         return ownership.isPresent() && ownership.get().fencingToken() == token;
     }
 
-    /** Returns the counts that were fixed before, if any were. */
+    /** Commits the counts of a window; returns the counts already committed for it, if any. */
     Optional<UsageCounts> commit(UsageCounts counts, long prunedWindow) {
         UsageCounts committed = committedByWindow.get(counts.window());
         if (committed != null) {
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/UsageEndpointModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/UsageEndpointModel.java
@@ -8,7 +8,7 @@
 import org.tanagerhinge.core.duty.DutyClient;
 import org.tanagerhinge.core.duty.UsageCounts;
 
-/** The address that takes usage reports, with its faults, and the checks of what must hold there. */
+/** Simulates the platform's usage endpoint with injected faults, and checks the reports that it receives. */
 final class UsageEndpointModel {
     private final DutySimulation simulation;
     private final TreeMap<Long, UsageCounts> acceptedByWindow = new TreeMap<>();
@@ -30,12 +30,12 @@
         this.simulation = simulation;
     }
 
-    /** A report arrives, or one that was left unanswered is carried out. */
+    /** Processes a report, which may have been delayed, and checks its fencing token and counts. */
     DutyClient.ReportResult report(String node, long token, UsageCounts counts) {
         receivedReports++;
         String owner = nodeByToken.putIfAbsent(token, node);
         if (owner != null && !owner.equals(node)) {
-            simulation.recordFailure("two holders sent token " + token + ": " + owner + " and " + node);
+            simulation.recordFailure("two nodes sent fencing token " + token + ": " + owner + " and " + node);
         }
         if (token < highestToken) {
             return rejectStaleToken(node, token);
@@ -45,29 +45,29 @@
         UsageCounts previous = acceptedByWindow.putIfAbsent(counts.window(), counts);
         acceptedAtMillisByWindow.putIfAbsent(counts.window(), simulation.epochMillis());
         if (previous != null && !previous.equals(counts)) {
-            simulation.recordFailure("two counts for window " + counts.window() + ": " + previous + " and " + counts);
+            simulation.recordFailure("different counts for window " + counts.window() + ": " + previous + " and " + counts);
         }
         return DutyClient.ReportResult.ACCEPTED;
     }
 
     private DutyClient.ReportResult rejectStaleToken(String node, long token) {
         if (!simulation.fenced) {
-            simulation.recordFailure("token " + token + " of " + node + " after " + highestToken);
+            simulation.recordFailure("fencing token " + token + " of " + node + " arrived after newer token " + highestToken);
         }
         rejectedReports++;
         Long firstMillis = firstRejectedMillis.putIfAbsent(node + "/" + token, simulation.nowMillis());
         if (firstMillis != null && simulation.nowMillis() - firstMillis > DutySimulation.LEASE_MILLIS + 12_000) {
-            simulation.recordFailure(node + " goes on with token " + token + " after it was refused");
+            simulation.recordFailure(node + " still sends token " + token + " after the endpoint rejected it");
         }
         return DutyClient.ReportResult.FENCED;
     }
 
-    /** A, B, A within the time of a lease must not be. */
+    /** Checks that the reporting node does not change from A to B and back to A within one lease duration. */
     private void recordReporter(String node) {
         if (!node.equals(lastReporter)) {
             Long previousMillis = lastReportMillisByNode.get(node);
             if (previousMillis != null && simulation.nowMillis() - previousMillis < DutySimulation.LEASE_MILLIS) {
-                simulation.recordFailure(node + ", " + lastReporter + ", " + node + " acted within "
+                simulation.recordFailure(node + ", " + lastReporter + ", " + node + " reported in turn within "
                         + (simulation.nowMillis() - previousMillis) + " ms");
             }
         }
@@ -75,7 +75,7 @@
         lastReportMillisByNode.put(node, simulation.nowMillis());
     }
 
-    /** Returns the counts that were accepted for a window in time; null if none were. */
+    /** Returns the counts accepted for a window before its deadline; null if there are none. */
     UsageCounts acceptedInTime(long window) {
         Long acceptedMillis = acceptedAtMillisByWindow.get(window);
         long deadlineMillis = (window + 1) * DutySimulation.WINDOW_MILLIS + DutySimulation.REPORT_GRACE_MILLIS;
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/package-info.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/package-info.java
@@ -1,2 +1,5 @@
-/** Random runs of the decision code of duties: many nodes, a store and the platform's address, simulated with their faults. */
+/**
+ * Random simulations of the decision code of duties: many nodes, a store and the platform's usage endpoint with
+ * faults.
+ */
 package org.tanagerhinge.bench.duty;
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/FaultInjector.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/FaultInjector.java
@@ -10,7 +10,7 @@
 import org.tanagerhinge.node.platform.ConfigStore;
 import org.tanagerhinge.node.platform.PlatformException;
 
-/** Brings about the faults of a run, alone, together and twice. */
+/** Injects random, possibly overlapping faults into a simulated run. */
 final class FaultInjector {
     private static final Duration MAX_STORE_OUTAGE = Duration.ofSeconds(20);
 
@@ -47,7 +47,7 @@
         });
     }
 
-    /** Marks everything as serving again, so that a run ends with everything in force everywhere. */
+    /** Sets all servers to serving, so that the configuration of all nodes can converge before the run ends. */
     private void restoreServing() {
         sim.agents().forEach(agent -> setDesiredState(agent, DesiredServerState.SERVING));
     }
@@ -105,7 +105,9 @@
         }
     }
 
-    /** Two operators edit from the same revision; at most one may be accepted, and a lost answer must be found out. */
+    /**
+     * Makes two edits from the same revision; at most one may be accepted, also if the response to the first is lost.
+     */
     private void editConcurrently() {
         try {
             ConfigStore configStore = sim.store.documents();
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/InvariantChecks.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/InvariantChecks.java
@@ -5,7 +5,7 @@
 import org.tanagerhinge.core.invariant.Invariant;
 import org.tanagerhinge.core.invariant.InvariantMonitor;
 
-/** Counts the checks made in a run, and ends it at the first that does not hold. */
+/** Counts the invariant checks of a run and aborts the run at the first violation. */
 final class InvariantChecks implements InvariantMonitor {
     private final Map<Invariant, Long> counts = new EnumMap<>(Invariant.class);
 
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimAgent.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimAgent.java
@@ -15,7 +15,7 @@
 import org.tanagerhinge.core.invariant.Invariant;
 import org.tanagerhinge.core.message.Frame;
 
-/** A simulated agent process around the real decisions. */
+/** Simulates an agent process that runs the real decision code. */
 final class SimAgent extends SimNode implements AgentPort {
     private static final Duration POLL_INTERVAL_WITHOUT_LINKS = Duration.ofSeconds(1);
 
@@ -65,14 +65,14 @@
         links.clear();
     }
 
-    /** Stops as planned and comes back; nothing in progress may be cut off. */
+    /** Stops gracefully and restarts; checks that no request in flight is interrupted. */
     void restartGracefully() {
         if (!up() || paused()) {
             return;
         }
         int expectedStart = startNumber();
         core.beginStop();
-        sim.scheduler.log(() -> name + " begins a planned stop");
+        sim.scheduler.log(() -> name + " begins a graceful stop");
         awaitDrained(expectedStart);
     }
 
@@ -86,7 +86,7 @@
                 return;
             }
             sim.checks.check(
-                    Invariant.GRACEFUL_STOP, core.inFlight() == 0, () -> name + " stops with work in progress");
+                    Invariant.GRACEFUL_STOP, core.inFlight() == 0, () -> name + " stops with requests in flight");
             sim.scheduler.log(() -> name + " has stopped");
             crash();
             sim.scheduler.after(Duration.ofMillis(500), this::start);
@@ -158,7 +158,7 @@
         sim.checks.check(
                 Invariant.CONFIG_FORWARD,
                 !config.revision().isBehind(appliedRevision),
-                () -> name + " went back from " + appliedRevision + " to " + config.revision());
+                () -> name + " configuration went back from " + appliedRevision + " to " + config.revision());
         appliedRevision = config.revision();
     }
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimBackend.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimBackend.java
@@ -9,7 +9,7 @@
 import org.tanagerhinge.core.message.BackendCall;
 import org.tanagerhinge.core.result.ResultCode;
 
-/** A simulated backend server: streams of tokens that slow each other down, crashes, stalls and slowness. */
+/** Simulates a backend server whose token streams slow each other down and which can crash, stall or be slow. */
 final class SimBackend {
     private static final double BASE_TOKEN_GAP_MILLIS = 20;
     private static final double TOKEN_GAP_PER_STREAM_MILLIS = 2;
@@ -51,7 +51,7 @@
                 return;
             }
             if (nextToken >= request.length()) {
-                // All tokens were delivered before the end got lost; a model asked to go on stops at once.
+                // All tokens were delivered but the completion was lost: a resumed stream completes immediately.
                 streams.remove(run.id());
                 agent.deliver(agentStart, () -> agent.core().onCompleted(run.id(), "stop"));
                 return;
@@ -137,7 +137,7 @@
                 () -> agent.deliver(agentStart, () -> agent.core().onProbeResult(healthy)));
     }
 
-    /** Everything running fails, and for a while everything started does. */
+    /** Fails all running streams, and every run that is started within the duration. */
     void crash(Duration duration) {
         int agentStart = agent.startNumber();
         down = true;
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimCall.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimCall.java
@@ -11,7 +11,7 @@
 import org.tanagerhinge.core.result.RunOutcome;
 import org.tanagerhinge.core.router.IncomingRequest;
 
-/** One call of a simulated caller. It checks its answer, and repeats a keyed request whose fate it was not told. */
+/** Simulates one call of a caller and checks the answer that it receives. */
 final class SimCall {
     private final Simulation sim;
     private final SimRequest request;
@@ -75,14 +75,14 @@
         sim.checks.check(
                 Invariant.WHOLE_ANSWER,
                 request.expectedAnswer().startsWith(text.toString()),
-                () -> request + " was given '" + text + "'");
+                () -> request + " received '" + text + "'");
     }
 
     void receiveCompletion() {
         sim.checks.check(
                 Invariant.WHOLE_ANSWER,
                 request.expectedAnswer().contentEquals(text),
-                () -> request + " was given '" + text + "' as whole");
+                () -> request + " received '" + text + "' as complete answer");
         end(RunOutcome.COMPLETE);
     }
 
@@ -91,11 +91,11 @@
         sim.checks.check(
                 Invariant.NOT_RUN_IS_TRUE,
                 failure.outcome() != RunOutcome.NOT_RUN || text.isEmpty(),
-                () -> request + " was given '" + text + "' and then told not run");
+                () -> request + " received '" + text + "' and then reported as not run");
         end(failure.outcome());
     }
 
-    /** The router went away under the caller. */
+    /** Ends the call with an unknown outcome because its router crashed. */
     void connectionLost() {
         end(RunOutcome.UNKNOWN);
     }
@@ -109,7 +109,7 @@
 
     private void end(RunOutcome outcome) {
         if (ended) {
-            sim.checks.recordViolation(Invariant.WHOLE_ANSWER, request + " was answered twice");
+            sim.checks.recordViolation(Invariant.WHOLE_ANSWER, request + " received two final results");
         }
         ended = true;
         sim.callEnded(this, outcome);
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimLink.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimLink.java
@@ -5,11 +5,10 @@
 import org.tanagerhinge.core.message.Frame;
 
 /**
- * One simulated connection between a router and an agent.
+ * Simulates a connection between a router and an agent.
  *
- * <p>Messages keep their order and take a while. A cut loses what is on its way; each end notices on its own, at once or
- * only when nothing has come for the idle limit. Messages of a connection that an end has given up are ignored there, as
- * the daemons do.
+ * <p>Messages arrive in order and with latency. A cut drops messages in transit; each end detects it separately, at
+ * once or after the idle timeout. An end that has closed ignores further messages, as the daemons do.
  */
 final class SimLink {
     private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(3);
@@ -95,7 +94,7 @@
         return arrival.isBefore(lastArrival) ? lastArrival : arrival;
     }
 
-    /** Breaks the connection; an end that is told notices at once, the other by silence. */
+    /** Cuts the connection; an end that is not notified detects it by the idle timeout. */
     void cut(boolean notifyRouter, boolean notifyAgent) {
         if (cut) {
             return;
@@ -126,7 +125,7 @@
         });
     }
 
-    /** The router's end is closed, by itself or by what it noticed. */
+    /** Closes the router's end and, after the latency, the agent's. */
     void closeRouterEnd() {
         if (!routerOpen) {
             return;
@@ -140,7 +139,7 @@
         });
     }
 
-    /** The agent's end is closed, by itself or by what it noticed. */
+    /** Closes the agent's end and, after the latency, the router's. */
     void closeAgentEnd() {
         if (!agentOpen) {
             return;
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimNode.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimNode.java
@@ -4,7 +4,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** One simulated process: it can crash, and pause with its messages piling up until it goes on. */
+/** Simulates a process that can crash, and pause while events queue up until it continues. */
 abstract class SimNode {
     private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
@@ -80,7 +80,9 @@
         });
     }
 
-    /** Hands an event to this run of the process, at once or when a pause ends. */
+    /**
+     * Runs an event now or when a pause ends; drops it if the process has been restarted since {@code expectedStart}.
+     */
     final void deliver(int expectedStart, Runnable event) {
         if (!up || startNumber != expectedStart) {
             return;
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimRequest.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimRequest.java
@@ -9,7 +9,7 @@
 import org.tanagerhinge.core.invariant.Invariant;
 import org.tanagerhinge.core.result.RunOutcome;
 
-/** What a caller wants once, through one call or, with a key, several; and what really happened to it. */
+/** Tracks one request, sent in one call or, if keyed, in several: its starts on servers and its reported outcomes. */
 final class SimRequest {
     private final long number;
     private final String profile;
@@ -36,7 +36,7 @@
         return index == 0 ? "#" + number : " " + index;
     }
 
-    /** Returns the whole answer. */
+    /** Returns the complete answer that the caller must receive. */
     String expectedAnswer() {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < (service ? 1 : length); i++) {
@@ -65,17 +65,17 @@
         return length;
     }
 
-    /** A backend server begins to run it. */
+    /** Records that a backend server starts the request and checks that this is allowed. */
     void starts(Simulation sim, String server, RequestId call) {
         starts++;
         startedCalls.add(call);
-        sim.scheduler.log(() -> "request " + number + " begins at " + server);
+        sim.scheduler.log(() -> "request " + number + " starts at " + server);
         sim.checks.check(
-                Invariant.AT_MOST_ONCE, idempotent || starts == 1, () -> this + " begins for the " + starts + ". time");
+                Invariant.AT_MOST_ONCE, idempotent || starts == 1, () -> this + " starts for the " + starts + ". time");
         checkNotRunOutcomes(sim);
     }
 
-    /** A caller was told how one call ended. */
+    /** Records the outcome that was reported to the caller of one call. */
     void reportedOutcomes(Simulation sim, RunOutcome outcome, RequestId call) {
         reportedOutcomes.add(outcome);
         if (outcome == RunOutcome.NOT_RUN) {
@@ -88,21 +88,21 @@
     }
 
     /**
-     * If every call so far was told "not run", nothing may have begun, now or later; and of a call that was told so
-     * nothing may have begun, whatever became of other calls with the same key.
+     * Checks that a call reported as not run was never started, and that the request was never started if all of its
+     * calls were reported as not run.
      */
     private void checkNotRunOutcomes(Simulation sim) {
         sim.checks.check(
                 Invariant.NOT_RUN_IS_TRUE,
                 Collections.disjoint(startedCalls, notRunCalls),
-                () -> this + " began for a call that was told not run");
+                () -> this + " started for a call that was reported as not run");
         boolean allNotRun = !reportedOutcomes.isEmpty()
                 && reportedOutcomes.stream().allMatch(outcome -> outcome == RunOutcome.NOT_RUN);
         boolean callsOpen = sim.openCallCount(this) > 0;
         sim.checks.check(
                 Invariant.NOT_RUN_IS_TRUE,
                 !allNotRun || callsOpen || starts == 0,
-                () -> this + " was told not run, but began " + starts + " times");
+                () -> this + " was reported as not run, but started " + starts + " times");
     }
 
     int completeAnswers() {
@@ -111,7 +111,7 @@
 
     @Override
     public String toString() {
-        return "request " + number + " (" + profile + (keyed ? ", keyed" : "") + ", length " + length + ", told "
-                + reportedOutcomes + ", begun " + starts + ")";
+        return "request " + number + " (" + profile + (keyed ? ", keyed" : "") + ", length " + length + ", reported "
+                + reportedOutcomes + ", starts " + starts + ")";
     }
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimRouter.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimRouter.java
@@ -20,7 +20,7 @@
 import org.tanagerhinge.core.router.RouterOptions;
 import org.tanagerhinge.core.router.RouterPort;
 
-/** A simulated router process around the real decisions. */
+/** Simulates a router process that runs the real decision code. */
 final class SimRouter extends SimNode implements RouterPort {
     private static final Duration POLL_INTERVAL = Duration.ofSeconds(1);
     private static final Duration RECONNECT_DELAY = Duration.ofMillis(200);
@@ -80,7 +80,7 @@
         calls.clear();
     }
 
-    /** Stops as planned and comes back; no caller may lose its answer by it. */
+    /** Stops gracefully and restarts; checks that no caller loses its answer. */
     void restartGracefully() {
         if (!up() || paused() || stopping) {
             return;
@@ -100,7 +100,7 @@
                 return;
             }
             sim.checks.check(
-                    Invariant.GRACEFUL_STOP, calls.isEmpty(), () -> name + " stops with callers waiting: " + calls);
+                    Invariant.GRACEFUL_STOP, calls.isEmpty(), () -> name + " stops with open calls: " + calls);
             crash();
             sim.scheduler.after(Duration.ofMillis(500), this::start);
         });
@@ -154,7 +154,7 @@
         int ownStart = startNumber();
         links.put(server, link);
         long incarnation = agent.core().incarnation();
-        // The handshake's last message is before any other, so neither end hears the other before both are up.
+        // The last handshake message precedes all others, so neither end receives messages before both are up.
         sim.scheduler.after(sim.latency(), () -> {
             deliver(ownStart, () -> {
                 if (links.get(server) == link) {
@@ -165,7 +165,7 @@
         });
     }
 
-    /** Breaks the connection to an agent, noticed at once by the ends that are told. */
+    /** Cuts the connection to an agent; ends that are not notified detect it by the idle timeout. */
     void cutLinkTo(SimAgent agent, boolean notifyRouter, boolean notifyAgent) {
         SimLink link = links.get(ServerId.of(agent.name));
         if (link != null) {
@@ -269,7 +269,7 @@
         sim.checks.check(
                 Invariant.CONFIG_FORWARD,
                 !config.revision().isBehind(appliedRevision),
-                () -> name + " went back from " + appliedRevision + " to " + config.revision());
+                () -> name + " configuration went back from " + appliedRevision + " to " + config.revision());
         appliedRevision = config.revision();
     }
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimStore.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimStore.java
@@ -15,12 +15,12 @@
 import org.tanagerhinge.node.platform.PlatformException;
 import org.tanagerhinge.node.platform.PlatformStore;
 
-/** A simulated platform service: compare-and-swap over a map, outages, slowness, and answers that are lost. */
+/** Simulates the platform's store: compare-and-swap on a map, with outages, latency, stale reads and lost responses. */
 final class SimStore implements PlatformStore {
     private final Simulation sim;
     private final Map<String, Versioned> values = new TreeMap<>();
     private final Map<String, Versioned> previousValues = new HashMap<>();
-    /** Claims are apart from the documents: they are never read from a replica that is behind. */
+    /** Claims by key, kept apart from the documents because they are never read from a stale replica. */
     private final Map<String, Versioned> claimValues = new HashMap<>();
 
     private final ConfigStore documents = ConfigStore.in(this);
@@ -62,7 +62,7 @@
         return calls;
     }
 
-    /** Reads the configuration for a node; the answer comes later, or never. */
+    /** Reads the configuration for a node; the response arrives after the latency, or never. */
     void readConfig(SimNode node, Consumer<ClusterConfig> callback) {
         calls++;
         if (down || node.paused()) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Answers as a replica that is behind would. */
+    /** Reads the configuration as a stale replica would return it. */
     private ClusterConfig staleConfig() throws PlatformException, InvalidConfigException {
         Map<String, Versioned> current = new TreeMap<>(values);
         values.putAll(previousValues);
@@ -89,7 +89,8 @@
     }
 
     /**
-     * Claims a key; the answer comes later, and may be lost: the write takes effect at once, seconds later, or never.
+     * Claims a key; the response arrives after the latency or is lost, and then the write takes effect at once, late
+     * or never.
      */
     void submitClaim(ClaimEntry requested, long expectedGeneration, Consumer<ClaimDecision> callback) {
         calls++;
@@ -99,7 +100,7 @@
                 Duration delay = sim.chance(0.5) ? callLatency : Duration.ofMillis(500 + sim.random.nextInt(4000));
                 sim.scheduler.after(delay, () -> claims.claim(requested, expectedGeneration));
             }
-            sim.scheduler.after(Duration.ofSeconds(1), () -> callback.accept(new ClaimDecision.Unsettled("no answer")));
+            sim.scheduler.after(Duration.ofSeconds(1), () -> callback.accept(new ClaimDecision.Unsettled("no response")));
             return;
         }
         sim.scheduler.after(callLatency.dividedBy(2), () -> {
@@ -109,7 +110,7 @@
         });
     }
 
-    /** Gives a claim back; the call may be lost. */
+    /** Releases a claim; the call may be lost. */
     void releaseClaim(ClaimEntry claim) {
         calls++;
         if (sim.chance(0.01)) {
@@ -166,7 +167,7 @@
         values.put(key, new Versioned(value, ++version));
         if (responsesToLose > 0) {
             responsesToLose--;
-            throw new PlatformException("write", "the answer was lost", null);
+            throw new PlatformException("write", "the response was lost", null);
         }
         return true;
     }
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/Simulation.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/Simulation.java
@@ -27,7 +27,7 @@
 import org.tanagerhinge.core.result.RunOutcome;
 import org.tanagerhinge.node.platform.PlatformException;
 
-/** One random run: a seed makes the set-up, the traffic and the faults, the same each time. */
+/** Runs one random simulation; its seed determines the nodes, the traffic and the faults. */
 final class Simulation {
     static final String MODEL = "tanager-8b";
     static final String SERVICE = "jobs";
@@ -65,7 +65,7 @@
         this.faultInjector = new FaultInjector(this);
     }
 
-    /** Runs to the end; throws {@link SoakFailure} if a promise is broken. */
+    /** Runs to the end; throws {@link SoakFailure} if an invariant is violated. */
     void run() {
         createNodes();
         faultInjector.schedule(TRAFFIC_DURATION);
@@ -184,12 +184,12 @@
         return openCallCounts.getOrDefault(request, 0);
     }
 
-    /** A caller must not be left without any word; its router has at the most been paused for a while. */
+    /** Checks that a call ends, within a second timeout in case its router is paused. */
     private void checkAnswered(SimCall call) {
         if (!call.ended() && scheduler.elapsed().compareTo(TRAFFIC_DURATION.plus(SETTLE_DURATION)) < 0) {
             scheduler.after(ANSWER_TIMEOUT, () -> {
                 if (!call.ended()) {
-                    checks.recordViolation(Invariant.WHOLE_ANSWER, call + " was never answered");
+                    checks.recordViolation(Invariant.WHOLE_ANSWER, call + " received no final result");
                 }
             });
         }
@@ -199,10 +199,10 @@
         checks.check(
                 Invariant.WHOLE_ANSWER,
                 openCallsById.isEmpty(),
-                () -> "calls without any answer: " + openCallsById.values());
+                () -> "calls without a final result: " + openCallsById.values());
     }
 
-    /** Once faults are over, every node must have the newest documents. */
+    /** Checks that every node has the newest configuration once the faults are over. */
     private void checkConfigurationConverged() {
         try {
             ConfigRevision newest = store.documents().read().revision();
@@ -210,20 +210,20 @@
                 checks.check(
                         Invariant.CONFIG_FORWARD,
                         !router.core().revision().isBehind(newest),
-                        () -> router + " is at " + router.core().revision() + ", not " + newest);
+                        () -> router + " is at revision " + router.core().revision() + ", behind " + newest);
             }
             for (SimAgent agent : agents.values()) {
                 checks.check(
                         Invariant.CONFIG_FORWARD,
                         !agent.core().configRevision().isBehind(newest),
-                        () -> agent + " is at " + agent.core().configRevision() + ", not " + newest);
+                        () -> agent + " is at revision " + agent.core().configRevision() + ", behind " + newest);
             }
         } catch (PlatformException | InvalidConfigException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    // ---- for the fakes
+    // ---- used by the simulated nodes, links and store
 
     List<SimRouter> routers() {
         return routers;
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/Soak.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/Soak.java
@@ -15,15 +15,17 @@
 import org.tanagerhinge.core.id.WorkspaceId;
 import org.tanagerhinge.core.invariant.Invariant;
 
-/** Runs many seeds and sums up what was checked. */
+/** Runs random simulations of request handling, one per seed, and returns their results. */
 public final class Soak {
     private static final int MAX_TAIL_LINES = 60;
     private static final int MAX_RELATED_LINES = 2000;
 
     /**
-     * What one seed came to.
+     * Describes the result of one seed.
      *
-     * @param failure what promise was broken and how; empty if none
+     * @param failure violated invariant and detail; empty if none
+     * @param completeAnswers calls that received a complete answer
+     * @param checks checks made, by invariant
      */
     public record Result(
             long seed,
@@ -34,7 +36,7 @@
             long completeAnswers,
             Map<Invariant, Long> checks,
             Map<String, Long> counts) {
-        /** Returns whether no promise was broken. */
+        /** Returns whether no invariant was violated. */
         public boolean passed() {
             return failure.isEmpty();
         }
@@ -65,7 +67,7 @@
                 new TreeMap<>(simulation.counts()));
     }
 
-    /** Runs a seed again with its event log, and returns the lines about what broke, then the last ones. */
+    /** Reruns a seed with its event log; returns the lines about the failed request or node, then the last lines. */
     public static List<String> explain(long seed) {
         Simulation simulation = new Simulation(seed, true);
         List<String> lines = new ArrayList<>();
@@ -102,7 +104,7 @@
         return "r" + rest.substring(0, rest.indexOf(' ')) + "-";
     }
 
-    /** Returns how the calls of the request named in a failure begin, for example {@code r17-}. */
+    /** Returns the text that marks log lines about a failure: the key digest, or a call prefix such as {@code r17-}. */
     private static String subject(String failure) {
         int at = failure.indexOf("request ");
         if (at < 0) {
@@ -122,7 +124,7 @@
         return number.isEmpty() ? rest.substring(0, rest.indexOf('-') + 1) : "r" + number + "-";
     }
 
-    /** Runs seeds from one on, several at a time, and returns their results in order. */
+    /** Runs consecutive seeds on several threads and returns their results in order. */
     public static List<Result> runAll(long firstSeed, int seedCount, int threads) {
         ExecutorService executor = Executors.newFixedThreadPool(threads);
         try {
@@ -137,7 +139,7 @@
             }
             return results;
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a run ended in an unforeseen way", e);
+            throw new IllegalStateException("a run ended with an unexpected exception", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted", e);
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SoakFailure.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SoakFailure.java
@@ -2,7 +2,7 @@
 
 import org.tanagerhinge.core.invariant.Invariant;
 
-/** Thrown within a run when a promise was broken. */
+/** Signals that an invariant was violated in a run. */
 final class SoakFailure extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SoakMain.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SoakMain.java
@@ -15,10 +15,10 @@
 import org.tanagerhinge.bench.duty.DutySoak;
 import org.tanagerhinge.core.invariant.Invariant;
 
-/** The command line of the random runs. */
+/** Runs random simulations from the command line and prints the failures and a summary. */
 @Command(
         name = "soak",
-        description = "Runs the decision code under random faults, one run a seed, and checks what must hold")
+        description = "Runs the decision code under random faults, one run per seed, and checks its invariants")
 public final class SoakMain implements Callable<Integer> {
     private static final int MAX_SHOWN_FAILURES = 5;
 
@@ -27,32 +27,32 @@
 
     @Option(
             name = {"--seeds"},
-            description = "How many seeds; 200 if not given")
+            description = "Number of seeds to run (default: 200)")
     private int seeds = 200;
 
     @Option(
             name = {"--first"},
-            description = "The first seed; 1 if not given")
+            description = "First seed (default: 1)")
     private long first = 1;
 
     @Option(
             name = {"--explain"},
-            description = "Run one seed and print its event log around the failure")
+            description = "Run one seed and print the event log around its failure")
     private Long explain;
 
     @Option(
             name = {"--threads"},
-            description = "How many seeds run at a time; 6 if not given")
+            description = "Number of seeds to run in parallel (default: 6)")
     private int threads = 6;
 
     @Option(
             name = {"--duties"},
-            description = "Run the duties that one node does for all, not requests")
+            description = "Simulate cluster duties instead of requests")
     private boolean duties;
 
     @Option(
             name = {"--bug"},
-            description = "Put a bug into the runs of duties, to see that they find it: its name in lower case")
+            description = "Inject a deliberate bug, named in lower case, into the runs of duties")
     private String bug = DeliberateBug.NONE.name();
 
     /** Starts the program. */
@@ -93,8 +93,8 @@
         int windows = results.stream().mapToInt(DutySoak.Result::windows).sum();
         int correctWindows =
                 results.stream().mapToInt(DutySoak.Result::correctWindows).sum();
-        System.out.println(seeds + " seeds, " + faults + " faults, " + reports + " reports arrived, " + correctWindows
-                + " of " + windows + " windows right and in time, " + failed + " seeds failed");
+        System.out.println(seeds + " seeds, " + faults + " faults, " + reports + " reports received, " + correctWindows
+                + " of " + windows + " windows correct and in time, " + failed + " seeds failed");
         return failed == 0 ? 0 : 1;
     }
 
@@ -117,12 +117,12 @@
                 System.out.println("seed " + result.seed() + " FAILED: " + result.failure());
             }
         }
-        System.out.println("what happened:");
+        System.out.println("event counts:");
         counts.forEach((reason, count) -> System.out.println("  " + count + "  " + reason));
-        System.out.println("checks made:");
+        System.out.println("invariant checks:");
         checks.forEach((invariant, count) -> System.out.println("  " + count + "  " + invariant.label()));
         System.out.println(results.size() + " seeds, " + events + " events, " + faults + " faults, " + requests
-                + " calls, " + completeAnswers + " whole answers, " + failed + " seeds failed");
+                + " calls, " + completeAnswers + " complete answers, " + failed + " seeds failed");
         return failed == 0 ? 0 : 1;
     }
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/VirtualTimeScheduler.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/VirtualTimeScheduler.java
@@ -9,7 +9,9 @@
 import java.util.PriorityQueue;
 import java.util.function.Supplier;
 
-/** Simulated time: a queue of events, a clock that jumps from one to the next, and a log of what happened last. */
+/**
+ * Runs scheduled events in the order of simulated time, provides that time as a clock and keeps the newest log lines.
+ */
 final class VirtualTimeScheduler implements InstantSource {
     private static final int MAX_LOG_LINES = 400_000;
 
@@ -54,7 +56,7 @@
         events.add(new Event(moment, nextNumber++, action));
     }
 
-    /** Runs events until a moment. */
+    /** Runs events until a duration has elapsed since the start. */
     void runUntil(Duration end) {
         Instant endInstant = origin.plus(end);
         while (!events.isEmpty() && !events.peek().at().isAfter(endInstant)) {
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/package-info.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Long seeded random runs of the real decision code, with small fakes at its interfaces: a network that loses, delays
- * and doubles, backend servers that crash and straggle, a platform that is down or loses answers, processes that pause,
- * crash and are replaced, and operators who edit at the same moment.
+ * Seeded random simulations of the real decision code against simulated neighbours: a network that loses, delays and
+ * duplicates messages, backend servers that crash and stall, a platform with outages and lost responses, processes
+ * that pause, crash and restart, and operators with concurrent edits.
  */
 package org.tanagerhinge.bench.soak;
--- a/harness/src/test/java/org/tanagerhinge/bench/duty/DutySoakTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/duty/DutySoakTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random runs of duties, single faults of them, and proof that the checks of a run can fail. */
+/** Tests duties under random and single faults, and that the checks of a run detect deliberate bugs. */
 class DutySoakTest {
     private static final int SEEDS = 120;
     private static final int NODES = 6;
@@ -26,10 +26,13 @@
             assertTrue(result.passed(), () -> "seed " + result.seed() + ": " + result.failure());
         }
         int reports = results.stream().mapToInt(DutySoak.Result::reports).sum();
-        assertTrue(reports > 1_000, () -> "only " + reports + " reports arrived");
+        assertTrue(reports > 1_000, () -> "only " + reports + " reports reached the platform");
     }
 
-    /** 358: a call of a stopped process was carried out late, and the next process on its host had taken the duty again. */
+    /**
+     * Seed 358: a late call of a stopped process took effect after the next process on its host had reacquired the
+     * duty.
+     */
     @ParameterizedTest
     @ValueSource(longs = 358)
     void formerlyFailingSeedPasses(long seed) {
@@ -39,7 +42,7 @@
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
     void checksFindEachDeliberateBug(DeliberateBug bug) {
-        assertFalse(DutySoak.runAll(1, 300, bug).stream().allMatch(DutySoak.Result::passed), bug + " was not found");
+        assertFalse(DutySoak.runAll(1, 300, bug).stream().allMatch(DutySoak.Result::passed), bug + " was not detected");
     }
 
     @Test
@@ -58,28 +61,31 @@
         return Arguments.of(fault, maxWrongWindows, script);
     }
 
-    /** Faults, and windows that may be missing or wrong for each: those in which counts were lost, or that can't be fixed in time. */
+    /**
+     * Returns faults, each with the windows that may be missing or wrong: counts were lost or cannot be committed in
+     * time.
+     */
     static Stream<Arguments> singleFaults() {
         return Stream.of(
                 singleFault("holder killed", 1, script -> script.killHolder(31_000, 1_500)),
                 singleFault("holder suspended", 1, script -> script.suspendHolder(31_000, 6_000)),
                 singleFault(
-                        "holder turned away by the store", 0, script -> script.isolateHolderFromStore(31_000, 9_000)),
+                        "holder rejected by the store", 0, script -> script.isolateHolderFromStore(31_000, 9_000)),
                 singleFault(
-                        "holder cut off from the platform",
+                        "holder isolated from the platform",
                         0,
                         script -> script.isolateHolderFromPlatform(31_000, 4_000)),
-                singleFault("two clocks of six stepped ahead", 0, script -> script.stepClocks(31_000, 8_000, 2, 2_000)),
+                singleFault("two clocks of six stepped forward", 0, script -> script.stepClocks(31_000, 8_000, 2, 2_000)),
                 singleFault("two clocks of six stepped back", 0, script -> script.stepClocks(31_000, 8_000, 2, -2_000)),
-                singleFault("store down, leases lapse", 0, script -> script.storeDown(31_000, 4_000, false)),
+                singleFault("store down, leases expire", 0, script -> script.storeDown(31_000, 4_000, false)),
                 singleFault("store down, leases pause", 0, script -> script.storeDown(31_000, 4_000, true)),
-                singleFault("calls of the store carried out late", 1, script -> script.storeLate(31_000, 6_000, 0.3)),
-                singleFault("reports carried out late", 1, script -> script.platformLate(31_000, 6_000, 0.5)),
+                singleFault("store executes calls late", 1, script -> script.storeLate(31_000, 6_000, 0.3)),
+                singleFault("platform processes reports late", 1, script -> script.platformLate(31_000, 6_000, 0.5)),
                 singleFault("all nodes killed", 2, script -> script.killAll(31_000, 1_200)),
                 singleFault("all nodes stopped in turn", 1, script -> script.restartInTurn(31_000, 2_000)));
     }
 
-    /** A report is missing or wrong for longer than its fault lasts. */
+    /** Guards against reports that stay missing or wrong for longer than their fault lasts. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("singleFaults")
     void singleFaultLosesAtMostTheExpectedWindows(String fault, int maxWrongWindows, Consumer<DutyFaultScript> script) {
--- a/harness/src/test/java/org/tanagerhinge/bench/soak/SoakTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/soak/SoakTest.java
@@ -15,7 +15,7 @@
 import org.tanagerhinge.core.result.ResultCode;
 import org.tanagerhinge.core.result.RunOutcome;
 
-/** A short fixed set of random runs, the seeds that once failed, and proof that the checks of a run can fail. */
+/** Runs fixed seeds and formerly failing seeds, and tests that the checks of a run detect violations. */
 class SoakTest {
     private static final RequestId CALL = RequestId.of("r1-1");
 
@@ -33,13 +33,9 @@
     }
 
     /**
-     * Symptom of each: a keyed request ran twice. Events and causes, all of them while the claims of keys were kept by the
-     * agents themselves: 32, a home stopped as planned and its successor
-     * granted before the router that knew the claim was back; 52, a home and the router that made a claim crashed one
-     * after the other; 120, a home was restarted twice and the second run forgot whose word the first still waited for;
-     * 160, a fate that was settled counted as open; 305, two calls of one key at one router shared a generation, and one
-     * gave it back; 838, a claim that was not granted after all took the record of the former one with it;
-     * 153, more homes than journal writes could keep up with. The platform's store keeps the claims now.
+     * Guards against a keyed request that runs twice: after a graceful stop (32), crashes (52) or repeated restarts
+     * (120) of the claim's owner, with many owners (153), settled outcomes counted as open (160), a generation shared
+     * by two calls (305) and a rejected claim that removes an earlier one (838).
      */
     @ParameterizedTest
     @ValueSource(longs = {32, 52, 120, 153, 160, 305, 838})
