--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/Fixture.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/CapacityFixture.java
@@ -36,23 +36,23 @@
 import org.tanagerhinge.wire.FrameEncoder;
 
 /** Documents, messages and ports for measurements of the decision code alone. */
-final class Fixture {
+final class CapacityFixture {
     static final String MODEL = "tanager-8b";
-    private static final int LENGTH_PREFIX = 4;
+    private static final int LENGTH_PREFIX_BYTES = 4;
 
-    private Fixture() {}
+    private CapacityFixture() {}
 
     /** A clock that is set by hand. */
-    static final class HandClock implements InstantSource {
-        private Instant now = Instant.parse("2026-01-01T00:00:00Z");
+    static final class ManualClock implements InstantSource {
+        private Instant currentInstant = Instant.parse("2026-01-01T00:00:00Z");
 
         @Override
         public Instant instant() {
-            return now;
+            return currentInstant;
         }
 
-        void advance(Duration by) {
-            now = now.plus(by);
+        void advance(Duration duration) {
+            currentInstant = currentInstant.plus(duration);
         }
     }
 
@@ -141,31 +141,31 @@
     }
 
     static long wireBytes(Frame frame) {
-        return FrameEncoder.encode(frame).getSerializedSize() + LENGTH_PREFIX;
+        return FrameEncoder.encode(frame).getSerializedSize() + LENGTH_PREFIX_BYTES;
     }
 
-    static ServerId server(int number) {
+    static ServerId serverId(int number) {
         return ServerId.of("engine-" + number);
     }
 
-    static String key(int workspace) {
+    static String apiKey(int workspace) {
         return "sk-capacity-" + workspace;
     }
 
     static ClusterConfig config(int servers, int workspaces) {
-        List<BackendServer> list = new ArrayList<>();
+        List<BackendServer> serverList = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            list.add(new BackendServer(
-                    server(i),
+            serverList.add(new BackendServer(
+                    serverId(i),
                     "10.0." + i / 250 + "." + i % 250 + ":7701",
                     FailureDomain.of("domain-" + i % 8),
                     ServerKind.MODEL,
                     Set.of(TargetName.of(MODEL)),
                     DesiredServerState.SERVING));
         }
-        List<Workspace> customers = new ArrayList<>();
+        List<Workspace> workspaceList = new ArrayList<>();
         for (int i = 0; i < workspaces; i++) {
-            customers.add(new Workspace(WorkspaceId.of("workspace-" + i), List.of(KeyDigest.sha256Hex(key(i))), 1));
+            workspaceList.add(new Workspace(WorkspaceId.of("workspace-" + i), List.of(KeyDigest.sha256Hex(apiKey(i))), 1));
         }
         Profile chat = new Profile(
                 ProfileName.of("chat"),
@@ -181,18 +181,18 @@
                 0,
                 0);
         return new ClusterConfig(
-                new ProfilesDocument(1, List.of("a"), List.of(chat), customers),
-                new ServersDocument(1, List.of("a"), list));
+                new ProfilesDocument(1, List.of("a"), List.of(chat), workspaceList),
+                new ServersDocument(1, List.of("a"), serverList));
     }
 
-    static AgentLoad load() {
+    static AgentLoad agentLoad() {
         return new AgentLoad(20, 24, List.of(0L, 120L, 0L, 0L, 300L, 0L), 1800, 900, 38, 4, true);
     }
 
-    static IncomingRequest arrival(int number, int workspace) {
+    static IncomingRequest incomingRequest(int number, int workspace) {
         return new IncomingRequest(
                 RequestId.of("router-1-0123456789abcdef-" + number),
-                KeyDigest.sha256Hex(key(workspace)),
+                KeyDigest.sha256Hex(apiKey(workspace)),
                 "chat",
                 ServerKind.MODEL,
                 MODEL,
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/Capacity.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/CapacityMeasurement.java
@@ -16,52 +16,52 @@
  * <p>Each figure is the median of several repeats with their least and greatest. Sizes beyond one machine are measured
  * on the real decision code and codec with the messages of that many peers fed in, not on that many processes.
  */
-public final class Capacity {
+public final class CapacityMeasurement {
     private static final int REPEATS = 5;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final ArrayNode rows = JSON.createArrayNode();
+    private final ArrayNode jsonRows = JSON.createArrayNode();
 
-    private Capacity() {}
+    private CapacityMeasurement() {}
 
     /** Measures and prints all slopes, and writes them to a file if one is named. */
     public static int run(String jsonFile) throws TanagerhingeException, IOException {
-        Capacity capacity = new Capacity();
-        ControlCost.measure(capacity);
+        CapacityMeasurement capacity = new CapacityMeasurement();
+        ControlTrafficCost.measure(capacity);
         DecisionCost.measure(capacity);
         StreamCost.measure(capacity);
-        SpreadCost.measure(capacity);
+        ConfigPropagationCost.measure(capacity);
         if (jsonFile != null) {
-            Files.writeString(Path.of(jsonFile), capacity.rows.toPrettyString());
+            Files.writeString(Path.of(jsonFile), capacity.jsonRows.toPrettyString());
         }
         return 0;
     }
 
     /** Repeats a measurement and notes its median and spread. */
-    void note(String what, long size, String unit, DoubleSupplier measurement) {
+    void measureAndRecord(String label, long size, String unit, DoubleSupplier measurement) {
         double[] values = new double[REPEATS + 1];
         for (int i = 0; i < values.length; i++) {
             values[i] = measurement.getAsDouble();
         }
         // The first pays for compiling the code.
-        record(what, size, unit, Arrays.copyOfRange(values, 1, values.length));
+        record(label, size, unit, Arrays.copyOfRange(values, 1, values.length));
     }
 
     /** Notes values that were measured elsewhere. */
-    void record(String what, long size, String unit, double... values) {
+    void record(String label, long size, String unit, double... values) {
         Arrays.sort(values);
         double median = values[values.length / 2];
         System.out.println(String.format(
                 Locale.ROOT,
                 "%-62s %6d  %10.3f %-14s (%.3f to %.3f)",
-                what,
+                label,
                 size,
                 median,
                 unit,
                 values[0],
                 values[values.length - 1]));
-        rows.addObject()
-                .put("what", what)
+        jsonRows.addObject()
+                .put("what", label)
                 .put("size", size)
                 .put("unit", unit)
                 .put("median", median)
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/ControlCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/ControlTrafficCost.java
@@ -18,43 +18,43 @@
 import org.tanagerhinge.wire.MalformedFrameException;
 
 /** Control traffic and processor time of an idle node against the number of its peers. */
-final class ControlCost {
-    private static final int SECONDS = 20;
+final class ControlTrafficCost {
+    private static final int SIMULATED_SECONDS = 20;
     private static final int TICKS_PER_SECOND = 20;
-    private static final int[] PEERS = {10, 50, 200, 750};
-    private static final Duration TICK = Duration.ofMillis(1000 / TICKS_PER_SECOND);
+    private static final int[] PEER_COUNTS = {10, 50, 200, 750};
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(1000 / TICKS_PER_SECOND);
 
-    private ControlCost() {}
+    private ControlTrafficCost() {}
 
-    static void measure(Capacity capacity) {
-        for (int peers : PEERS) {
-            RouterRun all = routerRun(peers, peers);
+    static void measure(CapacityMeasurement capacity) {
+        for (int peers : PEER_COUNTS) {
+            NodeCost all = routerCost(peers, peers);
             capacity.record("router control traffic, all agents linked", peers, "KB/s", all.kilobytesPerSecond);
-            capacity.note("router control processor time, all agents linked", peers, "% of a core", () -> {
-                return routerRun(peers, peers).cpuPercent;
+            capacity.measureAndRecord("router control processor time, all agents linked", peers, "% of a core", () -> {
+                return routerCost(peers, peers).cpuPercent;
             });
         }
         for (int peers : new int[] {200, 750}) {
-            RouterRun subset = routerRun(peers, 24);
+            NodeCost subset = routerCost(peers, 24);
             capacity.record("router control traffic, 24 agents linked of", peers, "KB/s", subset.kilobytesPerSecond);
-            capacity.note("router control processor time, 24 agents linked of", peers, "% of a core", () -> {
-                return routerRun(peers, 24).cpuPercent;
+            capacity.measureAndRecord("router control processor time, 24 agents linked of", peers, "% of a core", () -> {
+                return routerCost(peers, 24).cpuPercent;
             });
         }
         for (int routers : new int[] {10, 50, 200, 410}) {
-            RouterRun agent = agentRun(routers);
+            NodeCost agent = agentCost(routers);
             capacity.record("agent control traffic, routers linked", routers, "KB/s", agent.kilobytesPerSecond);
-            capacity.note("agent control processor time, routers linked", routers, "% of a core", () -> {
-                return agentRun(routers).cpuPercent;
+            capacity.measureAndRecord("agent control processor time, routers linked", routers, "% of a core", () -> {
+                return agentCost(routers).cpuPercent;
             });
         }
     }
 
-    private record RouterRun(double kilobytesPerSecond, double cpuPercent) {}
+    private record NodeCost(double kilobytesPerSecond, double cpuPercent) {}
 
-    private static RouterRun routerRun(int servers, int links) {
-        Fixture.HandClock clock = new Fixture.HandClock();
-        Fixture.CountingRouterPort port = new Fixture.CountingRouterPort();
+    private static NodeCost routerCost(int servers, int links) {
+        CapacityFixture.ManualClock clock = new CapacityFixture.ManualClock();
+        CapacityFixture.CountingRouterPort port = new CapacityFixture.CountingRouterPort();
         RouterCore core = RouterCore.create(
                 RouterId.of("router-1", 1),
                 RouterOptions.defaults(FailureDomain.of("domain-0")).withMaxLinksPerTarget(links),
@@ -62,65 +62,65 @@
                 new Random(1),
                 port,
                 InvariantMonitor.strict());
-        ClusterConfig config = Fixture.config(servers, 10);
+        ClusterConfig config = CapacityFixture.config(servers, 10);
         core.applyConfig(config);
         for (int i = 0; i < servers; i++) {
-            core.onLinkUp(Fixture.server(i), i);
+            core.onLinkUp(CapacityFixture.serverId(i), i);
         }
-        int linked = core.linkedAgents();
+        int linkedAgents = core.linkedAgents();
         byte[] heartbeat = FrameEncoder.encode(new Frame.Heartbeat(ConfigRevision.of(1, 1)))
                 .toByteArray();
-        byte[] load = FrameEncoder.encode(new Frame.LoadReport(Fixture.load())).toByteArray();
-        long received = 0;
+        byte[] load = FrameEncoder.encode(new Frame.LoadReport(CapacityFixture.agentLoad())).toByteArray();
+        long receivedBytes = 0;
         port.bytes = 0;
-        long cpu = Probe.ownCpuNanos();
-        for (int second = 0; second < SECONDS; second++) {
+        long cpuNanos = ResourceProbe.ownCpuNanos();
+        for (int second = 0; second < SIMULATED_SECONDS; second++) {
             for (int i = 0; i < servers; i++) {
-                ServerId server = Fixture.server(i);
+                ServerId server = CapacityFixture.serverId(i);
                 core.onFrame(server, (Frame.FromAgent) decode(heartbeat));
                 core.onFrame(server, (Frame.FromAgent) decode(load));
             }
-            received += (long) linked * (heartbeat.length + load.length + 8);
+            receivedBytes += (long) linkedAgents * (heartbeat.length + load.length + 8);
             for (int tick = 0; tick < TICKS_PER_SECOND; tick++) {
-                clock.advance(TICK);
+                clock.advance(TICK_INTERVAL);
                 core.onTick();
             }
         }
-        cpu = Probe.ownCpuNanos() - cpu;
-        return new RouterRun((received + port.bytes) / 1000.0 / SECONDS, cpu / 1e9 / SECONDS * 100);
+        cpuNanos = ResourceProbe.ownCpuNanos() - cpuNanos;
+        return new NodeCost((receivedBytes + port.bytes) / 1000.0 / SIMULATED_SECONDS, cpuNanos / 1e9 / SIMULATED_SECONDS * 100);
     }
 
-    private static RouterRun agentRun(int routers) {
-        Fixture.HandClock clock = new Fixture.HandClock();
-        Fixture.CountingAgentPort port = new Fixture.CountingAgentPort();
+    private static NodeCost agentCost(int routers) {
+        CapacityFixture.ManualClock clock = new CapacityFixture.ManualClock();
+        CapacityFixture.CountingAgentPort port = new CapacityFixture.CountingAgentPort();
         AgentCore core =
-                AgentCore.create(Fixture.server(0), 1, AgentOptions.defaults(), clock, port, InvariantMonitor.strict());
-        core.applyConfig(Fixture.config(750, 10));
+                AgentCore.create(CapacityFixture.serverId(0), 1, AgentOptions.defaults(), clock, port, InvariantMonitor.strict());
+        core.applyConfig(CapacityFixture.config(750, 10));
         for (int i = 0; i < routers; i++) {
             core.onRouterConnected(RouterId.of("router-" + i, i));
         }
         byte[] heartbeat = FrameEncoder.encode(new Frame.Heartbeat(ConfigRevision.of(1, 1)))
                 .toByteArray();
-        long received = 0;
+        long receivedBytes = 0;
         port.bytes = 0;
-        long cpu = Probe.ownCpuNanos();
-        for (int second = 0; second < SECONDS; second++) {
+        long cpuNanos = ResourceProbe.ownCpuNanos();
+        for (int second = 0; second < SIMULATED_SECONDS; second++) {
             for (int i = 0; i < routers; i++) {
                 core.onFrame(RouterId.of("router-" + i, i), (Frame.FromRouter) decode(heartbeat));
             }
-            received += (long) routers * (heartbeat.length + 4);
+            receivedBytes += (long) routers * (heartbeat.length + 4);
             for (int tick = 0; tick < TICKS_PER_SECOND; tick++) {
-                clock.advance(TICK);
+                clock.advance(TICK_INTERVAL);
                 core.onTick();
             }
         }
-        cpu = Probe.ownCpuNanos() - cpu;
-        return new RouterRun((received + port.bytes) / 1000.0 / SECONDS, cpu / 1e9 / SECONDS * 100);
+        cpuNanos = ResourceProbe.ownCpuNanos() - cpuNanos;
+        return new NodeCost((receivedBytes + port.bytes) / 1000.0 / SIMULATED_SECONDS, cpuNanos / 1e9 / SIMULATED_SECONDS * 100);
     }
 
-    private static Frame decode(byte[] packet) {
+    private static Frame decode(byte[] encoded) {
         try {
-            return FrameDecoder.decode(org.tanagerhinge.wire.proto.Packet.parseFrom(packet));
+            return FrameDecoder.decode(org.tanagerhinge.wire.proto.Packet.parseFrom(encoded));
         } catch (MalformedFrameException | com.google.protobuf.InvalidProtocolBufferException e) {
             throw new IllegalStateException(e);
         }
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
@@ -33,12 +33,12 @@
  * has stopped; the three by turns in one run, since machines are noisy.
  */
 public final class LogCost {
-    private static final int ROUNDS = 12;
-    private static final int REQUESTS = 150;
-    private static final int EVENTS = 40;
+    private static final int ROUND_COUNT = 12;
+    private static final int REQUESTS_PER_ROUND = 150;
+    private static final int EVENTS_PER_STREAM = 40;
 
     private final Map<Mode, List<Double>> cpuMicros = new EnumMap<>(Mode.class);
-    private final Map<Mode, List<Double>> millis = new EnumMap<>(Mode.class);
+    private final Map<Mode, List<Double>> latencyMillis = new EnumMap<>(Mode.class);
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
@@ -51,13 +51,13 @@
     }
 
     /** A stream that nobody reads until it is closed. */
-    private static final class Stopped extends OutputStream {
-        private final CountDownLatch over = new CountDownLatch(1);
+    private static final class BlockedStream extends OutputStream {
+        private final CountDownLatch closed = new CountDownLatch(1);
 
         @Override
         public void write(int b) throws IOException {
             try {
-                over.await();
+                closed.await();
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
@@ -70,7 +70,7 @@
 
         @Override
         public void close() {
-            over.countDown();
+            closed.countDown();
         }
     }
 
@@ -82,7 +82,7 @@
 
     private void measure() throws IOException {
         try (StoreStandin store = StoreStandin.start(0);
-                ServerStandin engine = ServerStandin.start("e-1", ServerStandin.events(EVENTS, 0))) {
+                ServerStandin engine = ServerStandin.start("e-1", ServerStandin.events(EVENTS_PER_STREAM, 0))) {
             PlatformScene scene = PlatformScene.in(store);
             scene.host("127.0.0.1");
             scene.service("model", 8);
@@ -90,12 +90,12 @@
             scene.workspace("coop", "key-1");
             scene.register(engine, "model", "ready");
             scene.publish();
-            InetSocketAddress door = FreePorts.address();
+            InetSocketAddress listenAddress = FreePorts.address();
             GatewayDaemon gateway = PlatformGateway.start(
                     new GatewayOptions(
                             "gateway-0",
                             "north",
-                            door,
+                            listenAddress,
                             FreePorts.address(),
                             Optional.empty(),
                             FreePorts.address(),
@@ -107,9 +107,9 @@
             while (!gateway.ready()) {
                 Thread.onSpinWait();
             }
-            for (int round = 0; round < ROUNDS; round++) {
+            for (int round = 0; round < ROUND_COUNT; round++) {
                 for (Mode mode : Mode.values()) {
-                    block(mode, door.getPort(), round > 1);
+                    measureRound(mode, listenAddress.getPort(), round > 1);
                 }
             }
             gateway.close();
@@ -117,22 +117,22 @@
         print();
     }
 
-    private void block(Mode mode, int port, boolean counts) throws IOException {
+    private void measureRound(Mode mode, int port, boolean recorded) throws IOException {
         LogSetup.requests(mode == Mode.WITHOUT ? RequestLines.NONE : RequestLines.ALL);
-        try (Stopped stopped = new Stopped()) {
-            AutoCloseable copy = mode == Mode.READER_STOPPED ? LogSetup.copyTo(stopped) : () -> {};
-            long before = cpu();
-            for (int i = 0; i < REQUESTS; i++) {
-                long began = System.nanoTime();
+        try (BlockedStream blocked = new BlockedStream()) {
+            AutoCloseable copy = mode == Mode.READER_STOPPED ? LogSetup.copyTo(blocked) : () -> {};
+            long cpuBeforeNanos = cpuNanos();
+            for (int i = 0; i < REQUESTS_PER_ROUND; i++) {
+                long startNanos = System.nanoTime();
                 send(port, "attempt-" + i);
-                if (counts) {
-                    millis.computeIfAbsent(mode, key -> new ArrayList<>()).add((System.nanoTime() - began) / 1e6);
+                if (recorded) {
+                    latencyMillis.computeIfAbsent(mode, key -> new ArrayList<>()).add((System.nanoTime() - startNanos) / 1e6);
                 }
             }
-            if (counts) {
-                cpuMicros.computeIfAbsent(mode, key -> new ArrayList<>()).add((cpu() - before) / 1e3 / REQUESTS);
+            if (recorded) {
+                cpuMicros.computeIfAbsent(mode, key -> new ArrayList<>()).add((cpuNanos() - cpuBeforeNanos) / 1e3 / REQUESTS_PER_ROUND);
             }
-            stopped.close();
+            blocked.close();
             copy.close();
         } catch (IOException e) {
             throw e;
@@ -157,24 +157,24 @@
         }
     }
 
-    private static long cpu() {
-        return Probe.cpuNanos(name -> name.startsWith("multiThreadIoEventLoopGroup") || name.equals("log"));
+    private static long cpuNanos() {
+        return ResourceProbe.cpuNanos(name -> name.startsWith("multiThreadIoEventLoopGroup") || name.equals("log"));
     }
 
     private void print() {
         System.out.println("mode              us of processor time a request      ms a request, median and 99 in 100");
         for (Mode mode : Mode.values()) {
-            List<Double> cpu = sorted(cpuMicros.get(mode));
-            List<Double> times = sorted(millis.get(mode));
+            List<Double> cpuValues = sorted(cpuMicros.get(mode));
+            List<Double> latencies = sorted(latencyMillis.get(mode));
             System.out.println(String.format(
                     Locale.ROOT,
                     "%-16s %7.1f (%.1f to %.1f) %27.2f %.2f",
                     mode.name().toLowerCase(Locale.ROOT),
-                    cpu.get(cpu.size() / 2),
-                    cpu.get(0),
-                    cpu.get(cpu.size() - 1),
-                    times.get(times.size() / 2),
-                    times.get(times.size() * 99 / 100)));
+                    cpuValues.get(cpuValues.size() / 2),
+                    cpuValues.get(0),
+                    cpuValues.get(cpuValues.size() - 1),
+                    latencies.get(latencies.size() / 2),
+                    latencies.get(latencies.size() * 99 / 100)));
         }
     }
 
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/Probe.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/ResourceProbe.java
@@ -6,11 +6,11 @@
 import java.util.function.Predicate;
 
 /** Reads processor time and heap. */
-final class Probe {
+final class ResourceProbe {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
-    private static final int COLLECTIONS = 4;
+    private static final int GC_RUNS = 4;
 
-    private Probe() {}
+    private ResourceProbe() {}
 
     /** Returns the processor time of the calling thread in nanoseconds. */
     static long ownCpuNanos() {
@@ -18,20 +18,20 @@
     }
 
     /** Returns the processor time of the threads whose names fit, in nanoseconds. */
-    static long cpuNanos(Predicate<String> names) {
-        long sum = 0;
+    static long cpuNanos(Predicate<String> nameFilter) {
+        long totalNanos = 0;
         for (long id : THREADS.getAllThreadIds()) {
             ThreadInfo info = THREADS.getThreadInfo(id);
-            if (info != null && names.test(info.getThreadName())) {
-                sum += Math.max(0, THREADS.getThreadCpuTime(id));
+            if (info != null && nameFilter.test(info.getThreadName())) {
+                totalNanos += Math.max(0, THREADS.getThreadCpuTime(id));
             }
         }
-        return sum;
+        return totalNanos;
     }
 
     /** Returns the heap in use after collecting garbage, in bytes. */
     static long heapBytes() {
-        for (int i = 0; i < COLLECTIONS; i++) {
+        for (int i = 0; i < GC_RUNS; i++) {
             System.gc();
         }
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
--- a/harness/src/main/java/org/tanagerhinge/bench/cluster/LocalCluster.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/cluster/LocalCluster.java
@@ -45,12 +45,12 @@
     private static final SharedSecret SECRET = SharedSecret.of("local-cluster-secret");
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
     private static final Duration PLATFORM_TIMEOUT = Duration.ofSeconds(2);
-    private static final Duration POLL = Duration.ofSeconds(1);
-    private static final Duration PEER_IDLE = Duration.ofSeconds(3);
+    private static final Duration POLL_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration PEER_IDLE_TIMEOUT = Duration.ofSeconds(3);
     private static final Duration STOP_TIMEOUT = Duration.ofSeconds(60);
-    private static final Duration READY = Duration.ofSeconds(20);
+    private static final Duration READY_TIMEOUT = Duration.ofSeconds(20);
     private static final int NAIVE_TIER = 3;
-    private static final int MOST_BODY = 1 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
     /** How the system under measurement decides. */
     public enum Kind {
@@ -82,18 +82,18 @@
 
     /** Puts the profiles in force. */
     public LocalCluster profiles(ProfilesDocument document) throws TanagerhingeException {
-        long base = store.read().profiles().revision();
-        List<Profile> used = kind == Kind.PRODUCT
+        long baseRevision = store.read().profiles().revision();
+        List<Profile> effective = kind == Kind.PRODUCT
                 ? document.profiles()
-                : document.profiles().stream().map(LocalCluster::withoutTier).toList();
+                : document.profiles().stream().map(LocalCluster::toNaiveProfile).toList();
         store.editProfiles(
-                base,
-                current -> new ProfilesDocument(current.revision(), current.changeIds(), used, document.workspaces()));
+                baseRevision,
+                current -> new ProfilesDocument(current.revision(), current.changeIds(), effective, document.workspaces()));
         return this;
     }
 
     /** The naive version knows no classes: all have one tier and no share. */
-    private static Profile withoutTier(Profile profile) {
+    private static Profile toNaiveProfile(Profile profile) {
         return new Profile(
                 profile.name(),
                 NAIVE_TIER,
@@ -114,20 +114,20 @@
         EngineStandin engine = EngineStandin.start(0, model);
         engines.put(name, engine);
         startAgent(name, 0);
-        list(name, domain, ServerKind.MODEL, MODEL);
+        registerServer(name, domain, ServerKind.MODEL, MODEL);
         return this;
     }
 
     /** Adds a plain service and its agent. */
-    public LocalCluster service(String name, String domain, int atOnce, long millis) throws TanagerhingeException {
-        ServiceStandin service = ServiceStandin.start(0, atOnce, millis);
+    public LocalCluster service(String name, String domain, int concurrency, long callMillis) throws TanagerhingeException {
+        ServiceStandin service = ServiceStandin.start(0, concurrency, callMillis);
         services.put(name, service);
         startAgent(name, 0);
-        list(name, domain, ServerKind.SERVICE, SERVICE);
+        registerServer(name, domain, ServerKind.SERVICE, SERVICE);
         return this;
     }
 
-    private void list(String name, String domain, ServerKind serverKind, String target) throws TanagerhingeException {
+    private void registerServer(String name, String domain, ServerKind serverKind, String target) throws TanagerhingeException {
         BackendServer server = new BackendServer(
                 ServerId.of(name),
                 "127.0.0.1:" + agents.get(name).port(),
@@ -135,8 +135,8 @@
                 serverKind,
                 java.util.Set.of(TargetName.of(target)),
                 DesiredServerState.SERVING);
-        long base = store.read().servers().revision();
-        store.editServers(base, document -> document.withServer(server));
+        long baseRevision = store.read().servers().revision();
+        store.editServers(baseRevision, document -> document.withServer(server));
     }
 
     /** Starts an agent for a backend server that is there, on a given port or, with 0, a free one. */
@@ -157,8 +157,8 @@
                 "/health",
                 http,
                 EtcdStore.at(http, platform.url(), PLATFORM_TIMEOUT),
-                POLL.multipliedBy(20),
-                PEER_IDLE,
+                POLL_INTERVAL.multipliedBy(20),
+                PEER_IDLE_TIMEOUT,
                 STOP_TIMEOUT));
         agents.put(name, agent);
         allMetrics.add(agent.metrics());
@@ -186,9 +186,9 @@
                 SECRET,
                 kind == Kind.PRODUCT ? options : options.withPolicy(new RouterOptions.Policy.RoundRobin()),
                 EtcdStore.at(http, platform.url(), PLATFORM_TIMEOUT),
-                POLL,
-                PEER_IDLE,
-                MOST_BODY,
+                POLL_INTERVAL,
+                PEER_IDLE_TIMEOUT,
+                MAX_BODY_BYTES,
                 STOP_TIMEOUT));
         routers.put(name, router);
         allMetrics.add(router.metrics());
@@ -226,9 +226,9 @@
 
     /** Waits until something holds; fails loudly if it does not within a generous time. */
     public static void await(BooleanSupplier condition) {
-        long until = System.nanoTime() + READY.toNanos();
+        long deadlineNanos = System.nanoTime() + READY_TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > until) {
+            if (System.nanoTime() > deadlineNanos) {
                 throw new IllegalStateException("what was waited for did not come about");
             }
             try {
@@ -241,13 +241,13 @@
     }
 
     /** Marks a backend server. */
-    public void mark(String name, DesiredServerState mark) throws TanagerhingeException {
-        long base = store.read().servers().revision();
+    public void setDesiredState(String name, DesiredServerState state) throws TanagerhingeException {
+        long baseRevision = store.read().servers().revision();
         ServerId id = ServerId.of(name);
         store.editServers(
-                base,
+                baseRevision,
                 document ->
-                        document.withServer(document.server(id).orElseThrow().withDesiredState(mark)));
+                        document.withServer(document.server(id).orElseThrow().withDesiredState(state)));
     }
 
     public PlatformStandin platform() {
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/BenchMain.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/BenchMain.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.function.ToDoubleFunction;
-import org.tanagerhinge.bench.capacity.Capacity;
+import org.tanagerhinge.bench.capacity.CapacityMeasurement;
 import org.tanagerhinge.bench.capacity.LogCost;
 import org.tanagerhinge.bench.cluster.LocalCluster.Kind;
 import org.tanagerhinge.bench.fleet.FleetExperiment;
@@ -87,7 +87,7 @@
         }
         try {
             if (names.equals(List.of("capacity"))) {
-                return Capacity.run(jsonFile);
+                return CapacityMeasurement.run(jsonFile);
             }
             if (names.equals(List.of("logs"))) {
                 return LogCost.run();
@@ -103,16 +103,16 @@
         }
     }
 
-    private int runScenarios(List<String> wanted) throws TanagerhingeException, IOException {
-        List<Scenario> scenarios = wanted.stream().map(ScenarioReader::read).toList();
+    private int runScenarios(List<String> scenarioNames) throws TanagerhingeException, IOException {
+        List<Scenario> scenarios = scenarioNames.stream().map(ScenarioReader::read).toList();
         warmUp(scenarios.get(0));
         ArrayNode json = JSON.createArrayNode();
         boolean clean = true;
         for (Scenario scenario : scenarios) {
             Map<Kind, List<Measurement>> measured = measure(scenario);
             print(scenario, measured);
-            measured.forEach((kind, list) -> list.forEach(each -> json.add(node(scenario, kind, each))));
-            clean &= measured.getOrDefault(Kind.PRODUCT, List.of()).stream().allMatch(Measurement::clean);
+            measured.forEach((kind, list) -> list.forEach(each -> json.add(toJson(scenario, kind, each))));
+            clean &= measured.getOrDefault(Kind.PRODUCT, List.of()).stream().allMatch(Measurement::isClean);
         }
         if (jsonFile != null) {
             Files.writeString(Path.of(jsonFile), json.toPrettyString());
@@ -130,13 +130,13 @@
 
     private Map<Kind, List<Measurement>> measure(Scenario scenario) throws TanagerhingeException {
         Map<Kind, List<Measurement>> measured = new EnumMap<>(Kind.class);
-        Duration length = Duration.ofSeconds(seconds > 0 ? seconds : scenario.seconds());
+        Duration duration = Duration.ofSeconds(seconds > 0 ? seconds : scenario.seconds());
         int runs = repeats > 0 ? repeats : scenario.repeats();
         for (int repeat = 0; repeat < runs; repeat++) {
             for (Kind kind : Kind.values()) {
                 if (only == null || only.equalsIgnoreCase(kind.name())) {
-                    Measurement each = new Experiment(scenario, kind, length, seed + repeat).run();
-                    measured.computeIfAbsent(kind, _ -> new ArrayList<>()).add(each);
+                    Measurement measurement = new Experiment(scenario, kind, duration, seed + repeat).run();
+                    measured.computeIfAbsent(kind, _ -> new ArrayList<>()).add(measurement);
                 }
             }
         }
@@ -148,9 +148,9 @@
         System.out.println("== " + scenario.name() + ": " + scenario.title());
         for (Map.Entry<Kind, List<Measurement>> each : measured.entrySet()) {
             String kind = each.getKey().name().toLowerCase(Locale.ROOT);
-            int number = 0;
+            int runNumber = 0;
             for (Measurement run : each.getValue()) {
-                printRun(kind + " " + ++number, run);
+                printMeasurement(kind + " " + ++runNumber, run);
             }
         }
         List<Measurement> product = measured.getOrDefault(Kind.PRODUCT, List.of());
@@ -163,19 +163,19 @@
 
     private static String ratios(
             List<Measurement> product, List<Measurement> naive, ToDoubleFunction<Measurement> figure) {
-        double least = Double.MAX_VALUE;
-        double most = 0;
-        double sum = 0;
+        double minRatio = Double.MAX_VALUE;
+        double maxRatio = 0;
+        double ratioSum = 0;
         for (int i = 0; i < product.size(); i++) {
             double ratio = figure.applyAsDouble(product.get(i)) / Math.max(0.01, figure.applyAsDouble(naive.get(i)));
-            least = Math.min(least, ratio);
-            most = Math.max(most, ratio);
-            sum += ratio;
+            minRatio = Math.min(minRatio, ratio);
+            maxRatio = Math.max(maxRatio, ratio);
+            ratioSum += ratio;
         }
-        return String.format(Locale.ROOT, "%.2f (%.2f to %.2f)", sum / product.size(), least, most);
+        return String.format(Locale.ROOT, "%.2f (%.2f to %.2f)", ratioSum / product.size(), minRatio, maxRatio);
     }
 
-    private static void printRun(String label, Measurement run) {
+    private static void printMeasurement(String label, Measurement run) {
         System.out.println(String.format(
                 Locale.ROOT,
                 "%-10s goodput %6.1f/s %8.0f tokens/s  wasted %5.1f%%  lost %d doubled %d mixed %d falsely-not-run %d"
@@ -208,7 +208,7 @@
                         tally.whole(95).toMillis())));
     }
 
-    private static ObjectNode node(Scenario scenario, Kind kind, Measurement run) {
+    private static ObjectNode toJson(Scenario scenario, Kind kind, Measurement run) {
         ObjectNode node = JSON.createObjectNode();
         node.put("scenario", scenario.name()).put("kind", kind.name().toLowerCase(Locale.ROOT));
         node.put("goodputPerSecond", run.goodput()).put("goodTokensPerSecond", run.goodTokens());
@@ -218,11 +218,11 @@
         ObjectNode codes = node.putObject("codes");
         run.codes().forEach((code, count) -> codes.put(Integer.toString(code), count));
         ObjectNode classes = node.putObject("classes");
-        run.tallies().forEach((profile, tally) -> classes.set(profile, node(tally)));
+        run.tallies().forEach((profile, tally) -> classes.set(profile, toJson(tally)));
         return node;
     }
 
-    private static ObjectNode node(Tally tally) {
+    private static ObjectNode toJson(Tally tally) {
         return JSON.createObjectNode()
                 .put("sent", tally.sentCount())
                 .put("attainment", tally.attainment())
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/Experiment.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/Experiment.java
@@ -21,35 +21,35 @@
 
     private final Scenario scenario;
     private final LocalCluster.Kind kind;
-    private final Duration length;
+    private final Duration duration;
     private final long seed;
 
-    Experiment(Scenario scenario, LocalCluster.Kind kind, Duration length, long seed) {
+    Experiment(Scenario scenario, LocalCluster.Kind kind, Duration duration, long seed) {
         this.scenario = scenario;
         this.kind = kind;
-        this.length = length;
+        this.duration = duration;
         this.seed = seed;
     }
 
     Measurement run() throws TanagerhingeException {
-        ScheduledExecutorService faults = Executors.newSingleThreadScheduledExecutor(
+        ScheduledExecutorService faultExecutor = Executors.newSingleThreadScheduledExecutor(
                 Thread.ofPlatform().name("faults").daemon().factory());
         HttpClient client = HttpClients.started("load");
         try (LocalCluster cluster = LocalCluster.create(kind)) {
-            setUp(cluster);
+            populateCluster(cluster);
             try (Load load = Load.of(client, cluster.routerUrls(), scenario.classes(), seed)) {
-                scenario.faults().forEach(fault -> schedule(faults, cluster, fault));
-                load.run(length);
+                scenario.faults().forEach(fault -> schedule(faultExecutor, cluster, fault));
+                load.run(duration);
                 load.audit(cluster.runs());
-                return new Measurement(load.tallies(), cluster.tokens(), length.toNanos() / 1e9, cluster.violations());
+                return new Measurement(load.tallies(), cluster.tokens(), duration.toNanos() / 1e9, cluster.violations());
             }
         } finally {
-            faults.shutdownNow();
-            stop(client);
+            faultExecutor.shutdownNow();
+            stopClient(client);
         }
     }
 
-    private static void stop(HttpClient client) {
+    private static void stopClient(HttpClient client) {
         try {
             client.stop();
         } catch (Exception e) {
@@ -57,7 +57,7 @@
         }
     }
 
-    private void setUp(LocalCluster cluster) throws TanagerhingeException {
+    private void populateCluster(LocalCluster cluster) throws TanagerhingeException {
         List<String> domains = scenario.domains();
         cluster.profiles(scenario.profiles());
         for (int i = 0; i < scenario.engineModels().size(); i++) {
@@ -66,7 +66,7 @@
         }
         for (int i = 0; i < scenario.services(); i++) {
             String domain = domains.get(i % domains.size());
-            cluster.service("service-" + i, domain, scenario.serviceAtOnce(), scenario.serviceMillis());
+            cluster.service("service-" + i, domain, scenario.serviceConcurrency(), scenario.serviceMillis());
         }
         for (int i = 0; i < scenario.routers(); i++) {
             cluster.router("router-" + i, domains.get(i % domains.size()));
@@ -74,15 +74,15 @@
         cluster.awaitReady();
     }
 
-    private void schedule(ScheduledExecutorService faults, LocalCluster cluster, Scenario.Fault fault) {
-        long millis = Scenario.moment(fault, length).toMillis();
-        faults.schedule(() -> begin(faults, cluster, fault), millis, TimeUnit.MILLISECONDS);
+    private void schedule(ScheduledExecutorService faultExecutor, LocalCluster cluster, Scenario.Fault fault) {
+        long delayMillis = Scenario.startTime(fault, duration).toMillis();
+        faultExecutor.schedule(() -> startFault(faultExecutor, cluster, fault), delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void begin(ScheduledExecutorService faults, LocalCluster cluster, Scenario.Fault fault) {
+    private void startFault(ScheduledExecutorService faultExecutor, LocalCluster cluster, Scenario.Fault fault) {
         try {
             Runnable end = inject(cluster, fault);
-            faults.schedule(end, fault.length().toMillis(), TimeUnit.MILLISECONDS);
+            faultExecutor.schedule(end, fault.duration().toMillis(), TimeUnit.MILLISECONDS);
         } catch (TanagerhingeException | RuntimeException e) {
             LOG.log(Level.ERROR, "fault " + fault + " could not be brought about", e);
         }
@@ -96,7 +96,7 @@
                 yield () -> cluster.engine(fault.target()).slowdown(1);
             }
             case CRASH -> {
-                cluster.engine(fault.target()).crash(fault.length().toMillis());
+                cluster.engine(fault.target()).crash(fault.duration().toMillis());
                 yield () -> {};
             }
             case STORE_DOWN -> {
@@ -105,35 +105,35 @@
             }
             case REPLACE_AGENT -> {
                 int port = cluster.killAgent(fault.target());
-                yield () -> startAgain(cluster, fault.target(), port);
+                yield () -> restartAgent(cluster, fault.target(), port);
             }
             case REPLACE_ROUTER -> {
                 int port = cluster.killRouter(fault.target());
-                yield () -> startRouterAgain(cluster, fault.target(), port);
+                yield () -> restartRouter(cluster, fault.target(), port);
             }
             case LEAVE -> {
-                cluster.mark(fault.target(), DesiredServerState.LEAVING);
-                yield () -> markServing(cluster, fault.target());
+                cluster.setDesiredState(fault.target(), DesiredServerState.LEAVING);
+                yield () -> restoreServing(cluster, fault.target());
             }
-            case DOMAIN -> domain(cluster, fault.target());
+            case DOMAIN -> stopDomain(cluster, fault.target());
         };
     }
 
-    private Runnable domain(LocalCluster cluster, String domain) {
-        List<Runnable> ends = new ArrayList<>();
+    private Runnable stopDomain(LocalCluster cluster, String domain) {
+        List<Runnable> restarts = new ArrayList<>();
         int index = scenario.domains().indexOf(domain);
         int size = scenario.domains().size();
         for (String name : cluster.serverNames()) {
             int number = Integer.parseInt(name.substring(name.lastIndexOf('-') + 1));
             if (number % size == index) {
                 int port = cluster.killAgent(name);
-                ends.add(() -> startAgain(cluster, name, port));
+                restarts.add(() -> restartAgent(cluster, name, port));
             }
         }
-        return () -> ends.forEach(Runnable::run);
+        return () -> restarts.forEach(Runnable::run);
     }
 
-    private static void startAgain(LocalCluster cluster, String name, int port) {
+    private static void restartAgent(LocalCluster cluster, String name, int port) {
         try {
             cluster.startAgent(name, port);
         } catch (TanagerhingeException e) {
@@ -141,7 +141,7 @@
         }
     }
 
-    private void startRouterAgain(LocalCluster cluster, String name, int port) {
+    private void restartRouter(LocalCluster cluster, String name, int port) {
         try {
             int number = Integer.parseInt(name.substring(name.lastIndexOf('-') + 1));
             cluster.router(
@@ -151,9 +151,9 @@
         }
     }
 
-    private static void markServing(LocalCluster cluster, String name) {
+    private static void restoreServing(LocalCluster cluster, String name) {
         try {
-            cluster.mark(name, DesiredServerState.SERVING);
+            cluster.setDesiredState(name, DesiredServerState.SERVING);
         } catch (TanagerhingeException e) {
             LOG.log(Level.ERROR, name + " cannot be marked", e);
         }
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/Measurement.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/Measurement.java
@@ -14,14 +14,14 @@
  */
 record Measurement(Map<String, Tally> tallies, long tokensComputed, double seconds, long violations) {
     int lost() {
-        return sum(Ending.LOST);
+        return count(Ending.LOST);
     }
 
     int mixed() {
-        return sum(Ending.MIXED);
+        return count(Ending.MIXED);
     }
 
-    int sum(Ending ending) {
+    int count(Ending ending) {
         return tallies.values().stream().mapToInt(tally -> tally.count(ending)).sum();
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** Returns whether nothing was lost, mixed up, doubled, falsely reported or seen violated. */
-    boolean clean() {
+    boolean isClean() {
         return lost() == 0 && mixed() == 0 && doubled() == 0 && falselyNotRun() == 0 && violations == 0;
     }
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/Scenario.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/Scenario.java
@@ -12,7 +12,7 @@
  * @param seconds length of a run unless the command line says otherwise
  * @param repeats runs of each kind unless the command line says otherwise
  * @param engineModels figures of the engines, one each
- * @param serviceAtOnce calls that a plain service runs at once
+ * @param serviceConcurrency calls that a plain service runs at once
  * @param serviceMillis how long a call of a plain service takes
  */
 record Scenario(
@@ -22,7 +22,7 @@
         int repeats,
         List<EngineModel> engineModels,
         int services,
-        int serviceAtOnce,
+        int serviceConcurrency,
         long serviceMillis,
         int routers,
         List<String> domains,
@@ -33,10 +33,10 @@
     /**
      * Something that goes wrong, or is done by operators, during a run.
      *
-     * @param at when, as a part of the run's length, so that a shorter run has the same faults
+     * @param runShare when, as a part of the run's length, so that a shorter run has the same faults
      * @param target the engine, service, router or domain
      */
-    record Fault(double at, Kind kind, String target, double factor, Duration length) {}
+    record Fault(double runShare, Kind kind, String target, double factor, Duration duration) {}
 
     /** The kinds of fault. */
     enum Kind {
@@ -57,7 +57,7 @@
     }
 
     /** Returns how long after its start a fault comes, in a run of a length. */
-    static Duration moment(Fault fault, Duration length) {
-        return Duration.ofNanos((long) (length.toNanos() * fault.at()));
+    static Duration startTime(Fault fault, Duration runDuration) {
+        return Duration.ofNanos((long) (runDuration.toNanos() * fault.runShare()));
     }
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/ScenarioReader.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/ScenarioReader.java
@@ -44,13 +44,13 @@
             }
             INIConfiguration ini = new INIConfiguration();
             ini.read(new StringReader(new String(in.readAllBytes(), StandardCharsets.UTF_8)));
-            return scenario(name, ini);
+            return parseScenario(name, ini);
         } catch (IOException | ConfigurationException e) {
             throw new IllegalArgumentException("scenario '" + name + "' cannot be read: " + e.getMessage(), e);
         }
     }
 
-    private static Scenario scenario(String name, INIConfiguration ini) {
+    private static Scenario parseScenario(String name, INIConfiguration ini) {
         Configuration setup = ini.getSection("setup");
         List<Profile> profiles = new ArrayList<>();
         List<LoadClass> classes = new ArrayList<>();
@@ -59,10 +59,10 @@
             if (section != null && section.startsWith("class ")) {
                 Configuration values = ini.getSection(section);
                 String profile = section.substring("class ".length());
-                profiles.add(profile(profile, values));
-                classes.add(loadClass(profile, values));
+                profiles.add(parseProfile(profile, values));
+                classes.add(parseLoadClass(profile, values));
             } else if (section != null && section.startsWith("fault ")) {
-                faults.add(fault(ini.getSection(section)));
+                faults.add(parseFault(ini.getSection(section)));
             }
         }
         return new Scenario(
@@ -70,18 +70,18 @@
                 setup.getString("title"),
                 setup.getInt("seconds", 6),
                 setup.getInt("repeats", 1),
-                engines(ini.getSection("engine"), setup.getInt("engines")),
+                parseEngines(ini.getSection("engine"), setup.getInt("engines")),
                 setup.getInt("services"),
                 setup.getInt("service_at_once", 16),
                 setup.getLong("service_millis", 20),
                 setup.getInt("routers", 2),
                 List.of(setup.getString("domains").split(" ")),
-                new ProfilesDocument(0, List.of(), profiles, workspaces()),
+                new ProfilesDocument(0, List.of(), profiles, createWorkspaces()),
                 classes,
                 faults);
     }
 
-    private static List<EngineModel> engines(Configuration values, int count) {
+    private static List<EngineModel> parseEngines(Configuration values, int count) {
         EngineModel model = new EngineModel(
                 values.getDouble("base_millis", 12),
                 values.getDouble("per_sequence_millis", 0.6),
@@ -95,53 +95,53 @@
         return Arrays.stream(new EngineModel[count]).map(_ -> model).toList();
     }
 
-    private static Profile profile(String name, Configuration values) {
+    private static Profile parseProfile(String name, Configuration values) {
         return new Profile(
                 ProfileName.of(name),
                 values.getInt("tier"),
                 values.getBoolean("idempotent"),
-                millis(values, "first_target_millis"),
-                millis(values, "whole_target_millis"),
-                millis(values, "between_target_millis"),
+                readMillis(values, "first_target_millis"),
+                readMillis(values, "whole_target_millis"),
+                readMillis(values, "between_target_millis"),
                 values.getDouble("percentile", 95),
-                millis(values, "deadline_millis"),
+                readMillis(values, "deadline_millis"),
                 values.getDouble("share"),
                 values.getInt("queue_bound", 64),
                 0,
                 0);
     }
 
-    private static LoadClass loadClass(String name, Configuration values) {
+    private static LoadClass parseLoadClass(String name, Configuration values) {
         String target = values.getString("target", "model");
         return new LoadClass(
                 name,
                 target.equals("service") ? LocalCluster.SERVICE : "",
                 LocalCluster.MODEL,
-                rates(values.getString("rate")),
-                callers(values.getString("greedy_workspace", "")),
+                parseRates(values.getString("rate")),
+                createCallers(values.getString("greedy_workspace", "")),
                 values.getInt("prompt_chars", 400),
                 values.getInt("length_median", 1),
                 values.getDouble("length_sigma", 0),
                 values.getInt("length_most", 1000),
                 values.getBoolean("keyed", false),
                 values.getBoolean("idempotent"),
-                millis(values, "first_target_millis"),
-                millis(values, "whole_target_millis"),
-                millis(values, "deadline_millis"));
+                readMillis(values, "first_target_millis"),
+                readMillis(values, "whole_target_millis"),
+                readMillis(values, "deadline_millis"));
     }
 
     /** Reads rates such as {@code 0:10 0.3:80}: ten a second at first, eighty from three tenths of the run on. */
-    private static List<LoadClass.Rate> rates(String text) {
+    private static List<LoadClass.Rate> parseRates(String text) {
         List<LoadClass.Rate> rates = new ArrayList<>();
-        for (String each : text.split(" ")) {
-            String[] parts = each.split(":");
+        for (String entry : text.split(" ")) {
+            String[] parts = entry.split(":");
             rates.add(new LoadClass.Rate(
                     Duration.ofMillis((long) (Double.parseDouble(parts[0]) * 1000)), Double.parseDouble(parts[1])));
         }
         return rates;
     }
 
-    private static Scenario.Fault fault(Configuration values) {
+    private static Scenario.Fault parseFault(Configuration values) {
         return new Scenario.Fault(
                 values.getDouble("at"),
                 Scenario.Kind.valueOf(values.getString("kind").toUpperCase(Locale.ROOT)),
@@ -150,28 +150,28 @@
                 Duration.ofMillis(values.getLong("millis", 0)));
     }
 
-    private static Duration millis(Configuration values, String key) {
+    private static Duration readMillis(Configuration values, String key) {
         return Duration.ofMillis(values.getLong(key, 0));
     }
 
-    private static List<Caller> callers(String greedy) {
+    private static List<Caller> createCallers(String greedyWorkspace) {
         List<Caller> callers = new ArrayList<>();
         for (int i = 0; i < WORKSPACES; i++) {
             String name = "workspace-" + i;
             double weight = i < LARGE_WORKSPACES ? LARGE_WEIGHT : 1;
-            callers.add(new Caller(name, key(name), name.equals(greedy) ? weight * 40 : weight));
+            callers.add(new Caller(name, apiKey(name), name.equals(greedyWorkspace) ? weight * 40 : weight));
         }
         return callers;
     }
 
-    private static List<Workspace> workspaces() {
-        return callers("").stream()
+    private static List<Workspace> createWorkspaces() {
+        return createCallers("").stream()
                 .map(caller -> new Workspace(
                         WorkspaceId.of(caller.workspace()), List.of(KeyDigest.sha256Hex(caller.key())), 1))
                 .toList();
     }
 
-    private static String key(String workspace) {
+    private static String apiKey(String workspace) {
         return "sk-bench-" + workspace;
     }
 
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/EngineModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/EngineModel.java
@@ -17,35 +17,35 @@
  */
 final class EngineModel {
     private static final Comparator<ModelCall> URGENCY =
-            Comparator.<ModelCall>comparingInt(call -> call.level).thenComparingLong(call -> call.sequence);
+            Comparator.<ModelCall>comparingInt(call -> call.priorityLevel).thenComparingLong(call -> call.sequence);
 
     final String id;
-    private final EngineTerms terms;
+    private final EngineParameters parameters;
     private final FleetModel fleet;
-    private final List<ModelCall> waiting = new ArrayList<>();
+    private final List<ModelCall> queue = new ArrayList<>();
     private final List<ModelCall> running = new ArrayList<>();
     /** Parts in memory, the least recently used first. */
-    private final LinkedHashMap<String, Kept> memory = new LinkedHashMap<>();
+    private final LinkedHashMap<String, CachedPart> cache = new LinkedHashMap<>();
 
-    private long kept;
-    private long generated;
-    private double linkFreeAt;
+    private long cachedTokens;
+    private long generatedTokens;
+    private double linkFreeAtMillis;
     private boolean stepping;
     private boolean up = true;
-    private int life;
+    private int instanceNumber;
 
-    EngineModel(String id, EngineTerms terms, FleetModel fleet) {
+    EngineModel(String id, EngineParameters parameters, FleetModel fleet) {
         this.id = id;
-        this.terms = terms;
+        this.parameters = parameters;
         this.fleet = fleet;
     }
 
-    private static final class Kept {
+    private static final class CachedPart {
         private final int tokens;
         private int users;
-        private boolean read;
+        private boolean prefilled;
 
-        Kept(int tokens) {
+        CachedPart(int tokens) {
             this.tokens = tokens;
         }
     }
@@ -54,31 +54,31 @@
         return up;
     }
 
-    int busy() {
-        return running.size() + waiting.size();
+    int inFlight() {
+        return running.size() + queue.size();
     }
 
     /** Takes a request; returns false if it is full, and has not run it. */
-    boolean offer(ModelCall call, double now) {
-        if (busy() >= terms.slots() + terms.queue()) {
+    boolean offer(ModelCall call, double nowMillis) {
+        if (inFlight() >= parameters.slots() + parameters.maxQueuedRequests()) {
             return false;
         }
         call.engine = this;
-        call.started = false;
-        call.fetchedAt = -1;
-        waiting.add(call);
-        waiting.sort(URGENCY);
+        call.prefillStarted = false;
+        call.fetchedAtMillis = -1;
+        queue.add(call);
+        queue.sort(URGENCY);
         if (!stepping) {
             stepping = true;
-            int current = life;
-            fleet.at(now, () -> step(current));
+            int currentInstance = instanceNumber;
+            fleet.scheduleAt(nowMillis, () -> step(currentInstance));
         }
         return true;
     }
 
     /** Ends the work for a request whose caller has left or that was served. */
-    void drop(ModelCall call) {
-        if (waiting.remove(call)) {
+    void remove(ModelCall call) {
+        if (queue.remove(call)) {
             return;
         }
         if (running.remove(call)) {
@@ -87,288 +87,288 @@
     }
 
     /** Loses power; what it ran is told as broken. */
-    List<ModelCall> lose() {
-        List<ModelCall> lost = new ArrayList<>(running);
-        lost.addAll(waiting);
+    List<ModelCall> crash() {
+        List<ModelCall> lostCalls = new ArrayList<>(running);
+        lostCalls.addAll(queue);
         running.clear();
-        waiting.clear();
-        memory.clear();
-        kept = 0;
-        generated = 0;
+        queue.clear();
+        cache.clear();
+        cachedTokens = 0;
+        generatedTokens = 0;
         up = false;
         stepping = false;
-        life++;
-        return lost;
+        instanceNumber++;
+        return lostCalls;
     }
 
-    void comeBack() {
+    void restart() {
         up = true;
     }
 
-    private void step(int ofLife) {
-        if (ofLife != life) {
+    private void step(int expectedInstance) {
+        if (expectedInstance != instanceNumber) {
             return;
         }
-        double now = fleet.now();
+        double nowMillis = fleet.nowMillis();
         admit();
         if (running.isEmpty()) {
             stepping = false;
             return;
         }
         List<ModelCall> generating = new ArrayList<>();
-        int budget = terms.chunk();
-        double pairs = 0;
-        long context = 0;
+        int budgetTokens = parameters.maxPrefillTokensPerStep();
+        double tokenPairs = 0;
+        long contextTokens = 0;
         running.sort(URGENCY);
         for (ModelCall call : running) {
-            if (budget > 0) {
-                begin(call);
+            if (budgetTokens > 0) {
+                startPrefill(call);
             }
-            int left = call.toRead - call.read;
-            context += call.started ? call.prompt.inputTokens() - left + call.generated : 0;
-            if (call.started && left <= 0) {
+            int remainingTokens = call.tokensToPrefill - call.prefilledTokens;
+            contextTokens += call.prefillStarted ? call.prompt.inputTokens() - remainingTokens + call.generatedTokens : 0;
+            if (call.prefillStarted && remainingTokens <= 0) {
                 generating.add(call);
-            } else if (call.started && budget > 0) {
-                int piece = Math.min(left, budget);
-                budget -= piece;
-                pairs += (double) piece * (call.prompt.inputTokens() - left);
-                call.read += piece;
-                fleet.tokensRead += piece;
-                haveRead(call, call.read - piece);
-                if (call.read >= call.toRead) {
+            } else if (call.prefillStarted && budgetTokens > 0) {
+                int chunkTokens = Math.min(remainingTokens, budgetTokens);
+                budgetTokens -= chunkTokens;
+                tokenPairs += (double) chunkTokens * (call.prompt.inputTokens() - remainingTokens);
+                call.prefilledTokens += chunkTokens;
+                fleet.prefilledTokens += chunkTokens;
+                recordPrefill(call, call.prefilledTokens - chunkTokens);
+                if (call.prefilledTokens >= call.tokensToPrefill) {
                     generating.add(call);
                 }
             }
         }
-        int pieces = terms.chunk() - budget;
-        if (pieces == 0 && generating.isEmpty()) {
+        int prefillTokens = parameters.maxPrefillTokensPerStep() - budgetTokens;
+        if (prefillTokens == 0 && generating.isEmpty()) {
             stepping = false;
             return;
         }
-        double millis = terms.stepMillis()
-                + terms.slotMillis() * running.size()
-                + pieces / terms.tokensPerMilli()
-                + terms.contextMillis() * context / 1e3
-                + terms.pairMillis() * pairs / 1e6;
-        int current = life;
-        fleet.at(now + millis, () -> stepped(generating, current));
+        double millis = parameters.baseStepMillis()
+                + parameters.stepMillisPerRequest() * running.size()
+                + prefillTokens / parameters.prefillTokensPerMilli()
+                + parameters.millisPerThousandContextTokens() * contextTokens / 1e3
+                + parameters.millisPerMillionTokenPairs() * tokenPairs / 1e6;
+        int currentInstance = instanceNumber;
+        fleet.scheduleAt(nowMillis + millis, () -> finishStep(generating, currentInstance));
     }
 
-    private void stepped(List<ModelCall> generating, int ofLife) {
-        if (ofLife != life) {
+    private void finishStep(List<ModelCall> generating, int expectedInstance) {
+        if (expectedInstance != instanceNumber) {
             return;
         }
         for (ModelCall call : generating) {
             if (!running.contains(call)) {
                 continue;
             }
-            call.generated++;
-            generated++;
-            boolean last = call.generated >= call.outputTokens;
-            if (last || call.generated % terms.stride() == 0) {
-                fleet.event(call, last);
+            call.generatedTokens++;
+            generatedTokens++;
+            boolean last = call.generatedTokens >= call.outputTokens;
+            if (last || call.generatedTokens % parameters.tokensPerEvent() == 0) {
+                fleet.deliverEvent(call, last);
             }
             if (last) {
                 running.remove(call);
                 release(call);
             }
         }
-        makeRoom();
-        step(life);
+        freeMemory();
+        step(instanceNumber);
     }
 
     private void admit() {
-        while (!waiting.isEmpty()) {
-            ModelCall call = waiting.get(0);
-            if (running.size() >= terms.slots() && !preemptFor(call)) {
+        while (!queue.isEmpty()) {
+            ModelCall call = queue.get(0);
+            if (running.size() >= parameters.slots() && !preemptForSlot(call)) {
                 return;
             }
-            long need = 0;
+            long neededTokens = 0;
             for (PromptPart part : call.prompt.parts()) {
-                Kept held = memory.get(part.id());
-                need += held != null && held.users > 0 ? 0 : part.tokens();
+                CachedPart cached = cache.get(part.id());
+                neededTokens += cached != null && cached.users > 0 ? 0 : part.tokens();
             }
-            if (inUse() + need > terms.memoryTokens() && !running.isEmpty()) {
+            if (pinnedTokens() + neededTokens > parameters.cacheCapacityTokens() && !running.isEmpty()) {
                 return;
             }
-            waiting.remove(0);
+            queue.remove(0);
             running.add(call);
-            generated += call.generated;
+            generatedTokens += call.generatedTokens;
             for (PromptPart part : call.prompt.parts()) {
-                Kept held = memory.remove(part.id());
-                if (held == null) {
-                    held = new Kept(part.tokens());
-                    kept += part.tokens();
+                CachedPart cached = cache.remove(part.id());
+                if (cached == null) {
+                    cached = new CachedPart(part.tokens());
+                    cachedTokens += part.tokens();
                 }
-                held.users++;
-                memory.put(part.id(), held);
+                cached.users++;
+                cache.put(part.id(), cached);
             }
             evict();
         }
     }
 
-    private long inUse() {
-        long used = generated;
-        for (Kept held : memory.values()) {
-            used += held.users > 0 ? held.tokens : 0;
+    private long pinnedTokens() {
+        long tokens = generatedTokens;
+        for (CachedPart cached : cache.values()) {
+            tokens += cached.users > 0 ? cached.tokens : 0;
         }
-        return used;
+        return tokens;
     }
 
     /** Finds out what is held of a prompt when its reading begins. */
-    private void begin(ModelCall call) {
-        if (call.started || !fetched(call)) {
+    private void startPrefill(ModelCall call) {
+        if (call.prefillStarted || !isFetchComplete(call)) {
             return;
         }
-        call.started = true;
-        int held = 0;
+        call.prefillStarted = true;
+        int cachedPromptTokens = 0;
         for (PromptPart part : call.prompt.parts()) {
-            Kept here = memory.get(part.id());
-            if (here == null || !here.read) {
+            CachedPart cached = cache.get(part.id());
+            if (cached == null || !cached.prefilled) {
                 break;
             }
-            held += part.tokens();
+            cachedPromptTokens += part.tokens();
         }
-        call.read = 0;
-        call.toRead = Math.max(1, call.prompt.inputTokens() - held) + call.generated;
+        call.prefilledTokens = 0;
+        call.tokensToPrefill = Math.max(1, call.prompt.inputTokens() - cachedPromptTokens) + call.generatedTokens;
     }
 
     /** Returns whether nothing of a request's prompt is still on its way from another engine. */
-    private boolean fetched(ModelCall call) {
-        if (call.placed.fetch().isEmpty()) {
+    private boolean isFetchComplete(ModelCall call) {
+        if (call.decision.fetch().isEmpty()) {
             return true;
         }
-        double now = fleet.now();
-        if (call.fetchedAt < 0) {
-            EngineModel source = fleet.engine(call.placed.fetch().get().source().id());
+        double nowMillis = fleet.nowMillis();
+        if (call.fetchedAtMillis < 0) {
+            EngineModel source = fleet.engine(call.decision.fetch().get().source().id());
             int tokens = 0;
             for (PromptPart part : call.prompt.parts()) {
-                if (!source.holds(part.id())) {
+                if (!source.hasCached(part.id())) {
                     break;
                 }
-                Kept here = memory.get(part.id());
-                if (here == null || !here.read) {
+                CachedPart cached = cache.get(part.id());
+                if (cached == null || !cached.prefilled) {
                     tokens += part.tokens();
                 }
-                Kept there = source.memory.remove(part.id());
-                source.memory.put(part.id(), there);
-                call.arriving.add(part.id());
+                CachedPart sourcePart = source.cache.remove(part.id());
+                source.cache.put(part.id(), sourcePart);
+                call.fetchingParts.add(part.id());
             }
             if (tokens == 0) {
-                call.fetchedAt = now;
+                call.fetchedAtMillis = nowMillis;
                 return true;
             }
-            source.linkFreeAt =
-                    Math.max(source.linkFreeAt, now) + terms.fetchSetupMillis() + tokens * terms.fetchMicros() / 1000;
-            call.fetchedAt = source.linkFreeAt;
-            fleet.tokensFetched += tokens;
-            int current = life;
-            fleet.at(call.fetchedAt, () -> {
-                if (current == life && !stepping && !running.isEmpty()) {
+            source.linkFreeAtMillis =
+                    Math.max(source.linkFreeAtMillis, nowMillis) + parameters.fetchSetupMillis() + tokens * parameters.fetchMicrosPerToken() / 1000;
+            call.fetchedAtMillis = source.linkFreeAtMillis;
+            fleet.fetchedTokens += tokens;
+            int currentInstance = instanceNumber;
+            fleet.scheduleAt(call.fetchedAtMillis, () -> {
+                if (currentInstance == instanceNumber && !stepping && !running.isEmpty()) {
                     stepping = true;
-                    step(current);
+                    step(currentInstance);
                 }
             });
         }
-        if (call.fetchedAt > now) {
+        if (call.fetchedAtMillis > nowMillis) {
             return false;
         }
-        for (String part : call.arriving) {
-            Kept here = memory.get(part);
-            if (here != null) {
-                here.read = true;
+        for (String part : call.fetchingParts) {
+            CachedPart cached = cache.get(part);
+            if (cached != null) {
+                cached.prefilled = true;
             }
         }
-        call.arriving.clear();
+        call.fetchingParts.clear();
         return true;
     }
 
     /** Notes the parts whose reading has ended since some tokens of what is to be read were read. */
-    private void haveRead(ModelCall call, int before) {
-        int held = call.prompt.inputTokens() + call.generated - call.toRead;
-        int end = 0;
+    private void recordPrefill(ModelCall call, int previousTokens) {
+        int cachedPromptTokens = call.prompt.inputTokens() + call.generatedTokens - call.tokensToPrefill;
+        int endTokens = 0;
         for (PromptPart part : call.prompt.parts()) {
-            end += part.tokens();
-            Kept here = memory.get(part.id());
+            endTokens += part.tokens();
+            CachedPart cached = cache.get(part.id());
             boolean shared = part != call.prompt.parts().getLast();
-            if (end <= held) {
-                if (before == 0 && shared) {
-                    fleet.sharedUsed(part);
+            if (endTokens <= cachedPromptTokens) {
+                if (previousTokens == 0 && shared) {
+                    fleet.recordSharedUse(part);
                 }
-            } else if (end > held + before && end <= held + call.read) {
+            } else if (endTokens > cachedPromptTokens + previousTokens && endTokens <= cachedPromptTokens + call.prefilledTokens) {
                 if (shared) {
-                    fleet.sharedRead(part, this, call);
+                    fleet.recordSharedPrefill(part, this, call);
                 }
-                if (here != null) {
-                    here.read = true;
+                if (cached != null) {
+                    cached.prefilled = true;
                 }
             }
         }
     }
 
     private void release(ModelCall call) {
-        generated -= call.generated;
+        generatedTokens -= call.generatedTokens;
         for (PromptPart part : call.prompt.parts()) {
-            Kept held = memory.get(part.id());
-            if (held != null) {
-                held.users--;
-                if (!held.read && held.users == 0) {
-                    memory.remove(part.id());
-                    kept -= held.tokens;
+            CachedPart cached = cache.get(part.id());
+            if (cached != null) {
+                cached.users--;
+                if (!cached.prefilled && cached.users == 0) {
+                    cache.remove(part.id());
+                    cachedTokens -= cached.tokens;
                 }
             }
         }
     }
 
     /** Returns whether a part is in memory and was read. */
-    boolean holds(String part) {
-        Kept held = memory.get(part);
-        return held != null && held.read;
+    boolean hasCached(String part) {
+        CachedPart cached = cache.get(part);
+        return cached != null && cached.prefilled;
     }
 
     private void evict() {
-        Iterator<Map.Entry<String, Kept>> oldest = memory.entrySet().iterator();
-        while (kept + generated > terms.memoryTokens() && oldest.hasNext()) {
-            Kept held = oldest.next().getValue();
-            if (held.users == 0) {
-                kept -= held.tokens;
+        Iterator<Map.Entry<String, CachedPart>> oldest = cache.entrySet().iterator();
+        while (cachedTokens + generatedTokens > parameters.cacheCapacityTokens() && oldest.hasNext()) {
+            CachedPart cached = oldest.next().getValue();
+            if (cached.users == 0) {
+                cachedTokens -= cached.tokens;
                 oldest.remove();
             }
         }
     }
 
     /** Frees a place for a request by preempting a less urgent one; returns whether there was one. */
-    private boolean preemptFor(ModelCall call) {
+    private boolean preemptForSlot(ModelCall call) {
         ModelCall victim = running.stream().max(URGENCY).orElseThrow();
-        if (!fleet.placesPreempt() || victim.level <= call.level) {
+        if (!fleet.preemptsForSlots() || victim.priorityLevel <= call.priorityLevel) {
             return false;
         }
         preempt(victim);
-        waiting.add(victim);
-        waiting.sort(URGENCY);
+        queue.add(victim);
+        queue.sort(URGENCY);
         return true;
     }
 
     private void preempt(ModelCall victim) {
         running.remove(victim);
         release(victim);
-        victim.started = false;
+        victim.prefillStarted = false;
         fleet.preempted++;
         if (running.stream().anyMatch(other -> other.kind.rank() > victim.kind.rank())) {
             fleet.preemptedBesideLessUrgent++;
         }
     }
 
-    private void makeRoom() {
+    private void freeMemory() {
         evict();
-        Set<ModelCall> out = new HashSet<>();
-        while (kept + generated > terms.memoryTokens() && running.size() > 1) {
+        Set<ModelCall> preempted = new HashSet<>();
+        while (cachedTokens + generatedTokens > parameters.cacheCapacityTokens() && running.size() > 1) {
             ModelCall victim = running.stream().max(URGENCY).orElseThrow();
             preempt(victim);
-            out.add(victim);
+            preempted.add(victim);
             evict();
         }
-        waiting.addAll(out);
-        waiting.sort(URGENCY);
+        queue.addAll(preempted);
+        queue.sort(URGENCY);
     }
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetModel.java
@@ -24,42 +24,42 @@
 /** Plays a scene: the same events in the same order for the same seed. */
 public final class FleetModel {
     /** A shared part that is read again within this time after its last use could have been spared. */
-    private static final double AGAIN_MILLIS = 10_000;
+    private static final double REUSE_WINDOW_MILLIS = 10_000;
     /** How unevenly shared parts are asked for: the exponent of Zipf's law. */
-    private static final double SKEW = 0.3;
+    private static final double ZIPF_EXPONENT = 0.3;
 
-    private static final double SAMPLE_MILLIS = 100;
+    private static final double SAMPLE_INTERVAL_MILLIS = 100;
     private static final String PREFERRED = "preferred";
     private static final String OTHERS = "others";
 
-    private final FleetScene scene;
+    private final FleetScenario scenario;
     private final Random random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final List<ModelGateway> gateways = new ArrayList<>();
     private final Map<String, EngineModel> engines = new LinkedHashMap<>();
     private final Map<String, Route> routes = new HashMap<>();
     private final Map<String, int[]> partSizes = new HashMap<>();
-    private final Map<String, double[]> partWeights = new HashMap<>();
-    private final Map<String, Double> lastUse = new HashMap<>();
+    private final Map<String, double[]> cumulativePartWeights = new HashMap<>();
+    private final Map<String, Double> lastUseMillisByPart = new HashMap<>();
     private final FleetResult result;
     private final RelayConfig config;
-    private double now;
-    private long order;
-    private long sequence;
-    long tokensRead;
-    long tokensFetched;
-    long fullEngines;
+    private double nowMillis;
+    private long nextEventNumber;
+    private long nextSequenceNumber;
+    long prefilledTokens;
+    long fetchedTokens;
+    long rejectedOffers;
     long preempted;
     long preemptedBesideLessUrgent;
 
-    private FleetModel(FleetScene scene, long seed, Set<Mechanism> off) {
-        this.scene = scene;
+    private FleetModel(FleetScenario scenario, long seed, Set<Mechanism> disabledMechanisms) {
+        this.scenario = scenario;
         this.random = new Random(seed);
-        this.result = FleetResult.of(scene);
-        for (int i = 0; i < scene.engines(); i++) {
-            engines.put(engineId(i), new EngineModel(engineId(i), scene.engine(), this));
+        this.result = FleetResult.of(scenario);
+        for (int i = 0; i < scenario.engines(); i++) {
+            engines.put(engineId(i), new EngineModel(engineId(i), scenario.engine(), this));
         }
-        for (PromptKind kind : scene.kinds()) {
+        for (RequestKind kind : scenario.kinds()) {
             routes.put(
                     kind.name(),
                     new Route(
@@ -71,33 +71,33 @@
                             List.of(new WeightedService("model", 1)),
                             2,
                             kind.timeoutMillis(),
-                            kind.targetMillis(),
-                            kind.gapMillis(),
+                            kind.firstEventTargetMillis(),
+                            kind.maxGapMillis(),
                             kind.rank(),
                             true,
                             true));
-            for (int i = 0; i < kind.shared().size(); i++) {
-                drawParts(kind.name() + i, kind.shared().get(i));
+            for (int i = 0; i < kind.sharedParts().size(); i++) {
+                drawParts(kind.name() + i, kind.sharedParts().get(i));
             }
         }
-        Map<String, WorkspaceConfig> workspaces = scene.preferred() <= 0
+        Map<String, WorkspaceConfig> workspaces = scenario.preferredShare() <= 0
                 ? Map.of()
                 : Map.of(
                         PREFERRED, new WorkspaceConfig(PREFERRED, OptionalInt.of(0)),
                         OTHERS, new WorkspaceConfig(OTHERS, OptionalInt.of(1)));
         this.config = RelayConfig.of(1, List.copyOf(routes.values()), List.of(), workspaces, CallerLimits.DEFAULT);
-        for (int i = 0; i < scene.gateways(); i++) {
-            gateways.add(new ModelGateway("g" + i, this, scene, off));
+        for (int i = 0; i < scenario.gateways(); i++) {
+            gateways.add(new ModelGateway("g" + i, this, scenario, disabledMechanisms));
         }
     }
 
     /**
      * Plays a scene to its end.
      *
-     * @param off mechanisms of the gateways that are switched off
+     * @param disabledMechanisms mechanisms of the gateways that are switched off
      */
-    public static FleetResult play(FleetScene scene, long seed, Set<Mechanism> off) {
-        FleetModel model = new FleetModel(scene, seed, off);
+    public static FleetResult simulate(FleetScenario scenario, long seed, Set<Mechanism> disabledMechanisms) {
+        FleetModel model = new FleetModel(scenario, seed, disabledMechanisms);
         model.run();
         return model.result;
     }
@@ -106,24 +106,24 @@
         return String.format(Locale.ROOT, "e%03d", number);
     }
 
-    private record Event(double at, long order, Runnable task) implements Comparable<Event> {
+    private record Event(double atMillis, long order, Runnable task) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            int byTime = Double.compare(at, other.at);
+            int byTime = Double.compare(atMillis, other.atMillis);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
     }
 
-    double now() {
-        return now;
+    double nowMillis() {
+        return nowMillis;
     }
 
     Random random() {
         return random;
     }
 
-    void at(double time, Runnable task) {
-        events.add(new Event(time, order++, task));
+    void scheduleAt(double timeMillis, Runnable task) {
+        events.add(new Event(timeMillis, nextEventNumber++, task));
     }
 
     List<ModelGateway> gateways() {
@@ -134,236 +134,236 @@
         return engines.get(id);
     }
 
-    Route route(PromptKind kind) {
+    Route route(RequestKind kind) {
         return routes.get(kind.name());
     }
 
     long nextSequence() {
-        return sequence++;
+        return nextSequenceNumber++;
     }
 
     RelayConfig config() {
         return config;
     }
 
-    boolean placesPreempt() {
-        return scene.placesPreempt();
+    boolean preemptsForSlots() {
+        return scenario.preemptsForSlots();
     }
 
     private Optional<WorkspaceConfig> drawWorkspace() {
-        if (scene.preferred() <= 0) {
+        if (scenario.preferredShare() <= 0) {
             return Optional.empty();
         }
-        return config.workspace(random.nextDouble() < scene.preferred() ? PREFERRED : OTHERS);
+        return config.workspace(random.nextDouble() < scenario.preferredShare() ? PREFERRED : OTHERS);
     }
 
     private void run() {
         for (ModelGateway gateway : gateways) {
-            at(random.nextDouble() * 250, gateway::report);
+            scheduleAt(random.nextDouble() * 250, gateway::report);
         }
-        for (PromptKind kind : scene.kinds()) {
-            arrive(kind);
+        for (RequestKind kind : scenario.kinds()) {
+            scheduleArrivals(kind);
         }
-        for (FleetScene.Loss loss : scene.losses()) {
-            at(loss.from() * 1000, () -> lose(loss));
+        for (FleetScenario.Outage outage : scenario.outages()) {
+            scheduleAt(outage.fromSeconds() * 1000, () -> crashEngines(outage));
         }
-        at(SAMPLE_MILLIS, this::sample);
-        double end = scene.seconds() * 1000.0 + 20_000;
-        while (!events.isEmpty() && events.peek().at() < end) {
+        scheduleAt(SAMPLE_INTERVAL_MILLIS, this::sample);
+        double endMillis = scenario.durationSeconds() * 1000.0 + 20_000;
+        while (!events.isEmpty() && events.peek().atMillis() < endMillis) {
             Event event = events.poll();
-            now = event.at();
+            nowMillis = event.atMillis();
             event.task().run();
         }
-        result.ended(tokensRead, tokensFetched, fullEngines, preempted, preemptedBesideLessUrgent);
+        result.recordTotals(prefilledTokens, fetchedTokens, rejectedOffers, preempted, preemptedBesideLessUrgent);
     }
 
     // ---- callers
 
-    private void arrive(PromptKind kind) {
-        double rate = kind.perSecond();
-        for (FleetScene.Burst burst : scene.bursts()) {
-            if (burst.kind().equals(kind.name()) && now >= burst.from() * 1000 && now < burst.to() * 1000) {
-                rate *= burst.times();
+    private void scheduleArrivals(RequestKind kind) {
+        double ratePerSecond = kind.requestsPerSecond();
+        for (FleetScenario.Burst burst : scenario.bursts()) {
+            if (burst.kind().equals(kind.name()) && nowMillis >= burst.fromSeconds() * 1000 && nowMillis < burst.toSeconds() * 1000) {
+                ratePerSecond *= burst.factor();
             }
         }
-        double next = now - Math.log(1 - random.nextDouble()) / rate * 1000;
-        if (next > scene.seconds() * 1000.0) {
+        double nextMillis = nowMillis - Math.log(1 - random.nextDouble()) / ratePerSecond * 1000;
+        if (nextMillis > scenario.durationSeconds() * 1000.0) {
             return;
         }
-        at(next, () -> {
-            ask(kind);
-            arrive(kind);
+        scheduleAt(nextMillis, () -> {
+            sendRequest(kind);
+            scheduleArrivals(kind);
         });
     }
 
-    private void ask(PromptKind kind) {
+    private void sendRequest(RequestKind kind) {
         List<PromptPart> parts = new ArrayList<>();
-        int input = 0;
-        for (int i = 0; i < kind.shared().size(); i++) {
+        int inputTokens = 0;
+        for (int i = 0; i < kind.sharedParts().size(); i++) {
             String name = kind.name() + i;
-            int thing = draw(partWeights.get(name));
-            PromptPart part = new PromptPart(name + "-" + thing, partSizes.get(name)[thing]);
+            int variant = drawIndex(cumulativePartWeights.get(name));
+            PromptPart part = new PromptPart(name + "-" + variant, partSizes.get(name)[variant]);
             parts.add(part);
-            input += part.tokens();
+            inputTokens += part.tokens();
         }
-        int own = size(kind.ownTokens(), kind.ownSpread());
-        parts.add(new PromptPart("own-" + sequence++, own));
-        input += own;
-        int output = Math.max(1, (int) Math.round(kind.events() * (0.5 + random.nextDouble())))
-                * scene.engine().stride();
-        int mean = kind.ownTokens()
-                + kind.shared().stream()
-                        .mapToInt(PromptKind.SharedPart::meanTokens)
+        int ownTokens = drawSize(kind.ownTokens(), kind.ownLogDeviation());
+        parts.add(new PromptPart("own-" + nextSequenceNumber++, ownTokens));
+        inputTokens += ownTokens;
+        int outputTokens = Math.max(1, (int) Math.round(kind.meanEvents() * (0.5 + random.nextDouble())))
+                * scenario.engine().tokensPerEvent();
+        int meanInputTokens = kind.ownTokens()
+                + kind.sharedParts().stream()
+                        .mapToInt(RequestKind.SharedPart::meanTokens)
                         .sum();
-        Prompt prompt = Prompt.of(input, output, parts);
-        ModelCall call = new ModelCall(kind, drawWorkspace(), prompt, output, now, input / (double) mean);
-        result.asked(call);
-        at(call.deadline, () -> leave(call));
-        watch(call);
-        gateways.get(random.nextInt(gateways.size())).take(call, Set.of());
+        Prompt prompt = Prompt.of(inputTokens, outputTokens, parts);
+        ModelCall call = new ModelCall(kind, drawWorkspace(), prompt, outputTokens, nowMillis, inputTokens / (double) meanInputTokens);
+        result.recordRequest(call);
+        scheduleAt(call.deadlineMillis, () -> disconnect(call));
+        watchForGap(call);
+        gateways.get(random.nextInt(gateways.size())).dispatch(call, Set.of());
     }
 
     /** A caller leaves a stream that has brought nothing for too long. */
-    private void watch(ModelCall call) {
-        double due = call.lastEventAt + call.kind.patienceMillis();
-        at(due, () -> {
-            if (!call.over && call.lastEventAt + call.kind.patienceMillis() <= now) {
-                leave(call);
-            } else if (!call.over) {
-                watch(call);
+    private void watchForGap(ModelCall call) {
+        double dueMillis = call.lastEventAtMillis + call.kind.abandonGapMillis();
+        scheduleAt(dueMillis, () -> {
+            if (!call.ended && call.lastEventAtMillis + call.kind.abandonGapMillis() <= nowMillis) {
+                disconnect(call);
+            } else if (!call.ended) {
+                watchForGap(call);
             }
         });
     }
 
-    private void leave(ModelCall call) {
-        if (call.over) {
+    private void disconnect(ModelCall call) {
+        if (call.ended) {
             return;
         }
-        call.over = true;
+        call.ended = true;
         if (call.engine != null) {
-            call.engine.drop(call);
-            call.gateway.settle(call, Double.isNaN(call.firstEventAt));
+            call.engine.remove(call);
+            call.gateway.settle(call, Double.isNaN(call.firstEventAtMillis));
             call.engine = null;
-            result.left(call);
+            result.recordAbandonment(call);
         } else {
-            result.failed(call);
+            result.recordFailure(call);
         }
     }
 
     /** A gateway has refused a request; its caller comes back once, through another gateway. */
-    void refused(ModelCall call, double retryAfterMillis, String why) {
-        result.refused(call, why);
-        call.refusals++;
+    void rejected(ModelCall call, double retryAfterMillis, String reason) {
+        result.recordRejection(call, reason);
+        call.rejections++;
         call.engine = null;
         call.sends = 0;
-        if (call.refusals > 1) {
-            call.over = true;
-            result.failed(call);
+        if (call.rejections > 1) {
+            call.ended = true;
+            result.recordFailure(call);
             return;
         }
-        double wait = Math.min(retryAfterMillis, (call.deadline - now) / 3);
-        call.lastEventAt = now + wait;
-        at(now + wait, () -> gateways.get(random.nextInt(gateways.size())).take(call, Set.of()));
+        double waitMillis = Math.min(retryAfterMillis, (call.deadlineMillis - nowMillis) / 3);
+        call.lastEventAtMillis = nowMillis + waitMillis;
+        scheduleAt(nowMillis + waitMillis, () -> gateways.get(random.nextInt(gateways.size())).dispatch(call, Set.of()));
     }
 
     // ---- engines
 
-    void event(ModelCall call, boolean last) {
-        if (call.over) {
+    void deliverEvent(ModelCall call, boolean last) {
+        if (call.ended) {
             return;
         }
-        if (Double.isNaN(call.firstEventAt)) {
-            call.firstEventAt = now;
-            call.gateway.began(call);
-        } else if (now - call.lastEventAt > call.kind.gapMillis()) {
-            call.paused = true;
+        if (Double.isNaN(call.firstEventAtMillis)) {
+            call.firstEventAtMillis = nowMillis;
+            call.gateway.recordFirstEvent(call);
+        } else if (nowMillis - call.lastEventAtMillis > call.kind.maxGapMillis()) {
+            call.gapExceeded = true;
         }
-        call.lastEventAt = now;
+        call.lastEventAtMillis = nowMillis;
         if (last) {
-            call.over = true;
+            call.ended = true;
             call.gateway.settle(call, false);
-            result.served(call);
+            result.recordCompletion(call);
         }
     }
 
-    private void lose(FleetScene.Loss loss) {
-        int count = (int) Math.round(loss.share() * engines.size());
-        List<EngineModel> all = new ArrayList<>(engines.values());
+    private void crashEngines(FleetScenario.Outage outage) {
+        int count = (int) Math.round(outage.share() * engines.size());
+        List<EngineModel> runningEngines = new ArrayList<>(engines.values());
         for (int i = 0; i < count; i++) {
-            EngineModel engine = all.remove(random.nextInt(all.size()));
-            for (ModelCall call : engine.lose()) {
-                call.gateway.settle(call, Double.isNaN(call.firstEventAt));
+            EngineModel engine = runningEngines.remove(random.nextInt(runningEngines.size()));
+            for (ModelCall call : engine.crash()) {
+                call.gateway.settle(call, Double.isNaN(call.firstEventAtMillis));
                 call.engine = null;
                 if (call.kind.resumable()) {
-                    call.gateway.server(engine.id).health().recordUnreachable((long) now);
-                    call.gateway.take(call, Set.of(engine.id));
+                    call.gateway.server(engine.id).health().recordUnreachable((long) nowMillis);
+                    call.gateway.dispatch(call, Set.of(engine.id));
                 } else {
-                    call.over = true;
-                    result.failed(call);
+                    call.ended = true;
+                    result.recordFailure(call);
                 }
             }
-            gateways.forEach(gateway -> gateway.lost(engine.id));
-            at(loss.to() * 1000, engine::comeBack);
+            gateways.forEach(gateway -> gateway.engineLost(engine.id));
+            scheduleAt(outage.toSeconds() * 1000, engine::restart);
         }
     }
 
     /** A shared part has been read. */
-    void sharedRead(PromptPart part, EngineModel at, ModelCall call) {
-        Double last = lastUse.put(part.id(), now);
-        if (last == null) {
-            result.readFirst(part.tokens());
-        } else if (now - last < AGAIN_MILLIS) {
-            boolean believed =
-                    call.placed.tokensToPrefill() <= call.prompt.inputTokens() - call.prompt.sharedTokens() + 1;
-            boolean elsewhere = engines.values().stream().anyMatch(engine -> engine != at && engine.holds(part.id()));
-            result.readAgain(part.tokens(), believed, elsewhere);
+    void recordSharedPrefill(PromptPart part, EngineModel prefillEngine, ModelCall call) {
+        Double previousUseMillis = lastUseMillisByPart.put(part.id(), nowMillis);
+        if (previousUseMillis == null) {
+            result.recordFirstPrefill(part.tokens());
+        } else if (nowMillis - previousUseMillis < REUSE_WINDOW_MILLIS) {
+            boolean expectedCached =
+                    call.decision.tokensToPrefill() <= call.prompt.inputTokens() - call.prompt.sharedTokens() + 1;
+            boolean cachedElsewhere = engines.values().stream().anyMatch(engine -> engine != prefillEngine && engine.hasCached(part.id()));
+            result.repeatedPrefill(part.tokens(), expectedCached, cachedElsewhere);
         }
     }
 
     /** A shared part was held. */
-    void sharedUsed(PromptPart part) {
-        lastUse.put(part.id(), now);
+    void recordSharedUse(PromptPart part) {
+        lastUseMillisByPart.put(part.id(), nowMillis);
     }
 
     private void sample() {
-        int most = 0;
-        int sum = 0;
-        int up = 0;
+        int maxInFlight = 0;
+        int totalInFlight = 0;
+        int upCount = 0;
         for (EngineModel engine : engines.values()) {
-            most = Math.max(most, engine.busy());
-            sum += engine.busy();
-            up += engine.up() ? 1 : 0;
+            maxInFlight = Math.max(maxInFlight, engine.inFlight());
+            totalInFlight += engine.inFlight();
+            upCount += engine.up() ? 1 : 0;
         }
-        if (sum > 0) {
-            result.load(most * (double) up / sum);
+        if (totalInFlight > 0) {
+            result.recordLoadRatio(maxInFlight * (double) upCount / totalInFlight);
         }
-        if (now < scene.seconds() * 1000.0) {
-            at(now + SAMPLE_MILLIS, this::sample);
+        if (nowMillis < scenario.durationSeconds() * 1000.0) {
+            scheduleAt(nowMillis + SAMPLE_INTERVAL_MILLIS, this::sample);
         }
     }
 
     // ---- sizes
 
-    private void drawParts(String name, PromptKind.SharedPart part) {
-        int[] sizes = new int[part.things()];
-        double[] weights = new double[part.things()];
+    private void drawParts(String name, RequestKind.SharedPart part) {
+        int[] sizes = new int[part.variants()];
+        double[] weights = new double[part.variants()];
         double sum = 0;
         for (int i = 0; i < sizes.length; i++) {
-            sizes[i] = size(part.meanTokens(), part.spread());
-            sum += Math.pow(i + 1, -SKEW);
+            sizes[i] = drawSize(part.meanTokens(), part.logDeviation());
+            sum += Math.pow(i + 1, -ZIPF_EXPONENT);
             weights[i] = sum;
         }
         partSizes.put(name, sizes);
-        partWeights.put(name, weights);
+        cumulativePartWeights.put(name, weights);
     }
 
-    private int draw(double[] sums) {
-        double point = random.nextDouble() * sums[sums.length - 1];
+    private int drawIndex(double[] cumulativeWeights) {
+        double point = random.nextDouble() * cumulativeWeights[cumulativeWeights.length - 1];
         int low = 0;
-        int high = sums.length - 1;
+        int high = cumulativeWeights.length - 1;
         while (low < high) {
             int middle = (low + high) >>> 1;
-            if (sums[middle] < point) {
+            if (cumulativeWeights[middle] < point) {
                 low = middle + 1;
             } else {
                 high = middle;
@@ -373,8 +373,8 @@
     }
 
     /** Returns a size of a log-normal distribution with a mean, at most ten times the mean. */
-    private int size(int mean, double spread) {
-        double size = mean * Math.exp(spread * random.nextGaussian() - spread * spread / 2);
+    private int drawSize(int mean, double logDeviation) {
+        double size = mean * Math.exp(logDeviation * random.nextGaussian() - logDeviation * logDeviation / 2);
         return (int) Math.max(1, Math.min(10.0 * mean, size));
     }
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetResult.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetResult.java
@@ -8,49 +8,49 @@
 /** What a played scene has brought, by kind of request and second. */
 public final class FleetResult {
     /** What a request costs that came back as it was told and got nothing, as a share of its worth. */
-    private static final double REFUSED_AGAIN = 0.3;
-
-    private final Map<String, Tally> kinds = new LinkedHashMap<>();
-    private final Map<String, Long> refusals = new TreeMap<>();
-    private final double[] owedAt;
-    private final double[] earnedAt;
-    private final Map<String, Long> againBy = new TreeMap<>();
-    private long tokensRead;
-    private long fetched;
-    private long firstRead;
-    private long again;
-    private long full;
+    private static final double FAILED_RETRY_PENALTY = 0.3;
+
+    private final Map<String, Tally> tallyByKind = new LinkedHashMap<>();
+    private final Map<String, Long> rejectionsByReason = new TreeMap<>();
+    private final double[] possibleCreditBySecond;
+    private final double[] earnedCreditBySecond;
+    private final Map<String, Long> repeatedPrefillTokensByCause = new TreeMap<>();
+    private long prefilledTokens;
+    private long fetchedTokens;
+    private long firstPrefillTokens;
+    private long repeatedPrefillTokens;
+    private long rejectedOffers;
     private long preempted;
     private long preemptedBesideLessUrgent;
-    private double loadSum;
-    private int loads;
+    private double loadRatioSum;
+    private int loadSamples;
 
-    private FleetResult(FleetScene scene) {
-        for (PromptKind kind : scene.kinds()) {
-            kinds.put(kind.name(), new Tally());
+    private FleetResult(FleetScenario scenario) {
+        for (RequestKind kind : scenario.kinds()) {
+            tallyByKind.put(kind.name(), new Tally());
         }
-        owedAt = new double[scene.seconds() + 1];
-        earnedAt = new double[scene.seconds() + 1];
+        possibleCreditBySecond = new double[scenario.durationSeconds() + 1];
+        earnedCreditBySecond = new double[scenario.durationSeconds() + 1];
     }
 
-    static FleetResult of(FleetScene scene) {
-        return new FleetResult(scene);
+    static FleetResult of(FleetScenario scenario) {
+        return new FleetResult(scenario);
     }
 
     /** Requests of a kind by how they ended. */
     public static final class Tally {
-        private int asked;
+        private int requests;
         private int onTime;
         private int late;
-        private int paused;
-        private int left;
+        private int gapExceeded;
+        private int abandoned;
         private int failed;
-        private int cameBack;
-        private double owed;
-        private double earned;
+        private int rejections;
+        private double possibleCredit;
+        private double earnedCredit;
 
-        public int asked() {
-            return asked;
+        public int requests() {
+            return requests;
         }
 
         public int onTime() {
@@ -62,8 +62,8 @@
         }
 
         /** Returns the requests whose callers left while an engine worked for them. */
-        public int left() {
-            return left;
+        public int abandoned() {
+            return abandoned;
         }
 
         /** Returns the requests that were refused for good or broken off. */
@@ -73,74 +73,74 @@
 
         /** Returns the share of their worth that answers brought. */
         public double credit() {
-            return owed == 0 ? 1 : earned / owed;
+            return possibleCredit == 0 ? 1 : earnedCredit / possibleCredit;
         }
     }
 
-    void asked(ModelCall call) {
-        Tally tally = kinds.get(call.kind.name());
-        tally.asked++;
-        tally.owed += call.owed();
-        owedAt[(int) (call.firstAsked / 1000)] += call.owed();
+    void recordRequest(ModelCall call) {
+        Tally tally = tallyByKind.get(call.kind.name());
+        tally.requests++;
+        tally.possibleCredit += call.possibleCredit();
+        possibleCreditBySecond[(int) (call.requestedAtMillis / 1000)] += call.possibleCredit();
     }
 
-    void served(ModelCall call) {
-        Tally tally = kinds.get(call.kind.name());
-        boolean late = call.earned() < call.owed();
-        tally.paused += call.paused ? 1 : 0;
+    void recordCompletion(ModelCall call) {
+        Tally tally = tallyByKind.get(call.kind.name());
+        boolean late = call.earnedCredit() < call.possibleCredit();
+        tally.gapExceeded += call.gapExceeded ? 1 : 0;
         tally.onTime += late ? 0 : 1;
         tally.late += late ? 1 : 0;
-        tally.earned += call.earned();
-        earnedAt[(int) (call.firstAsked / 1000)] += call.earned();
+        tally.earnedCredit += call.earnedCredit();
+        earnedCreditBySecond[(int) (call.requestedAtMillis / 1000)] += call.earnedCredit();
     }
 
-    void left(ModelCall call) {
-        kinds.get(call.kind.name()).left++;
+    void recordAbandonment(ModelCall call) {
+        tallyByKind.get(call.kind.name()).abandoned++;
     }
 
-    void failed(ModelCall call) {
-        Tally tally = kinds.get(call.kind.name());
+    void recordFailure(ModelCall call) {
+        Tally tally = tallyByKind.get(call.kind.name());
         tally.failed++;
-        if (call.refusals > 0) {
+        if (call.rejections > 0) {
             // Who came back as told and got nothing has waited in vain.
-            tally.earned -= REFUSED_AGAIN * call.owed();
-            earnedAt[(int) (call.firstAsked / 1000)] -= REFUSED_AGAIN * call.owed();
+            tally.earnedCredit -= FAILED_RETRY_PENALTY * call.possibleCredit();
+            earnedCreditBySecond[(int) (call.requestedAtMillis / 1000)] -= FAILED_RETRY_PENALTY * call.possibleCredit();
         }
     }
 
-    void refused(ModelCall call, String why) {
-        kinds.get(call.kind.name()).cameBack++;
-        refusals.merge(call.kind.name() + " " + why, 1L, Long::sum);
+    void recordRejection(ModelCall call, String reason) {
+        tallyByKind.get(call.kind.name()).rejections++;
+        rejectionsByReason.merge(call.kind.name() + " " + reason, 1L, Long::sum);
     }
 
-    void readFirst(int tokens) {
-        firstRead += tokens;
+    void recordFirstPrefill(int tokens) {
+        firstPrefillTokens += tokens;
     }
 
     /**
      * A shared part was read again.
      *
-     * @param believed whether the engine was taken to hold it
-     * @param elsewhere whether another engine holds it
+     * @param expectedCached whether the engine was taken to hold it
+     * @param cachedElsewhere whether another engine holds it
      */
-    void readAgain(int tokens, boolean believed, boolean elsewhere) {
-        again += tokens;
-        againBy.merge(
-                (believed ? "believed held" : "not believed held")
-                        + (elsewhere ? ", held elsewhere" : ", dropped by all"),
+    void repeatedPrefill(int tokens, boolean expectedCached, boolean cachedElsewhere) {
+        repeatedPrefillTokens += tokens;
+        repeatedPrefillTokensByCause.merge(
+                (expectedCached ? "believed held" : "not believed held")
+                        + (cachedElsewhere ? ", held elsewhere" : ", dropped by all"),
                 (long) tokens,
                 Long::sum);
     }
 
-    void load(double busiestToMean) {
-        loadSum += busiestToMean;
-        loads++;
+    void recordLoadRatio(double busiestToMean) {
+        loadRatioSum += busiestToMean;
+        loadSamples++;
     }
 
-    void ended(long read, long moved, long fullEngines, long preemptions, long besideLessUrgent) {
-        tokensRead = read;
-        fetched = moved;
-        full = fullEngines;
+    void recordTotals(long prefilled, long fetched, long offers, long preemptions, long besideLessUrgent) {
+        prefilledTokens = prefilled;
+        fetchedTokens = fetched;
+        rejectedOffers = offers;
         preempted = preemptions;
         preemptedBesideLessUrgent = besideLessUrgent;
     }
@@ -157,65 +157,65 @@
 
     /** Returns the requests of a kind by how they ended. */
     public Tally kind(String name) {
-        return kinds.get(name);
+        return tallyByKind.get(name);
     }
 
     /** Returns the share of all worth that answers brought. */
     public double credit() {
-        double owed = kinds.values().stream().mapToDouble(tally -> tally.owed).sum();
-        return kinds.values().stream().mapToDouble(tally -> tally.earned).sum() / owed;
+        double possibleCredit = tallyByKind.values().stream().mapToDouble(tally -> tally.possibleCredit).sum();
+        return tallyByKind.values().stream().mapToDouble(tally -> tally.earnedCredit).sum() / possibleCredit;
     }
 
     /** Returns the share of worth that the requests of a second brought. */
     public double creditOfSecond(int second) {
-        return owedAt[second] == 0 ? 1 : earnedAt[second] / owedAt[second];
+        return possibleCreditBySecond[second] == 0 ? 1 : earnedCreditBySecond[second] / possibleCreditBySecond[second];
     }
 
     /** Returns the shared tokens that were read though an engine had read them a short time before. */
-    public long readAgain() {
-        return again;
+    public long repeatedPrefill() {
+        return repeatedPrefillTokens;
     }
 
     /** Returns the mean over time of the busiest engine's requests against the mean engine's. */
     public double busiestToMean() {
-        return loadSum / Math.max(1, loads);
+        return loadRatioSum / Math.max(1, loadSamples);
     }
 
     /** Returns the figures as lines of text. */
-    public String text() {
+    public String summary() {
         StringBuilder text = new StringBuilder();
         text.append(String.format(
                 Locale.ROOT,
                 "credit %.3f  read %.1f M, first %.1f M, again %.1f M, fetched %.1f M  busiest/mean %.2f  full %d  preempted %d (%d beside less urgent)%n",
                 credit(),
-                tokensRead / 1e6,
-                firstRead / 1e6,
-                again / 1e6,
-                fetched / 1e6,
+                prefilledTokens / 1e6,
+                firstPrefillTokens / 1e6,
+                repeatedPrefillTokens / 1e6,
+                fetchedTokens / 1e6,
                 busiestToMean(),
-                full,
+                rejectedOffers,
                 preempted,
                 preemptedBesideLessUrgent));
-        kinds.forEach((name, tally) -> text.append(String.format(
+        tallyByKind.forEach((name, tally) -> text.append(String.format(
                 Locale.ROOT,
                 "  %-10s asked %5d  on time %5d  late %5d (%d paused)  left %5d  failed %5d  refusals %5d  credit %.3f%n",
                 name,
-                tally.asked,
+                tally.requests,
                 tally.onTime,
                 tally.late,
-                tally.paused,
-                tally.left,
+                tally.gapExceeded,
+                tally.abandoned,
                 tally.failed,
-                tally.cameBack,
+                tally.rejections,
                 tally.credit())));
         text.append("  by second");
-        for (int i = 0; i < owedAt.length - 1; i++) {
+        for (int i = 0; i < possibleCreditBySecond.length - 1; i++) {
             text.append(String.format(Locale.ROOT, " %.2f", creditOfSecond(i)));
         }
         return text.append("\n  again ")
-                .append(againBy)
+                .append(repeatedPrefillTokensByCause)
                 .append("\n  refusals ")
-                .append(refusals)
+                .append(rejectionsByReason)
                 .append('\n')
                 .toString();
     }
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetScene.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetScenario.java
@@ -9,78 +9,78 @@
  * @param engines how many serve it
  * @param kinds what callers ask
  * @param bursts times in which a kind comes more often
- * @param losses times in which a share of the engines is gone
- * @param seconds length of the day
- * @param preferred share of the requests that come from a workspace of a more urgent rank than all others; 0 if all
+ * @param outages times in which a share of the engines is gone
+ * @param durationSeconds length of the day
+ * @param preferredShare share of the requests that come from a workspace of a more urgent rank than all others; 0 if all
  *     workspaces have the same
- * @param placesPreempt whether engines preempt for a more urgent request that finds no free place, and not for memory alone
+ * @param preemptsForSlots whether engines preempt for a more urgent request that finds no free place, and not for memory alone
  */
-public record FleetScene(
+public record FleetScenario(
         String name,
         int gateways,
         int engines,
-        EngineTerms engine,
-        List<PromptKind> kinds,
+        EngineParameters engine,
+        List<RequestKind> kinds,
         List<Burst> bursts,
-        List<Loss> losses,
-        int seconds,
-        double preferred,
-        boolean placesPreempt) {
+        List<Outage> outages,
+        int durationSeconds,
+        double preferredShare,
+        boolean preemptsForSlots) {
     /**
      * More of a kind than usual.
      *
-     * @param times how many times the usual
-     * @param from in seconds from the start, as is {@code to}
+     * @param factor how many times the usual
+     * @param fromSeconds in seconds from the start, as is {@code to}
      */
-    public record Burst(String kind, double times, double from, double to) {}
+    public record Burst(String kind, double factor, double fromSeconds, double toSeconds) {}
 
     /**
      * Engines that are gone and come back empty.
      *
      * @param share of all engines
-     * @param from in seconds from the start, as is {@code to}
+     * @param fromSeconds in seconds from the start, as is {@code to}
      */
-    public record Loss(double share, double from, double to) {}
+    public record Outage(double share, double fromSeconds, double toSeconds) {}
 
     /** Returns the same scene with fewer gateways, engines, things and requests, each by the same factor; and shorter. */
-    public FleetScene smaller(double factor, int newSeconds) {
-        List<PromptKind> fewer =
-                kinds.stream().map(kind -> kind.smaller(factor)).toList();
+    public FleetScenario scaledDown(double factor, int newDurationSeconds) {
+        List<RequestKind> fewer =
+                kinds.stream().map(kind -> kind.scaledDown(factor)).toList();
         int nodes = (int) Math.max(2, Math.round(gateways / factor));
         int servers = (int) Math.max(2, Math.round(engines / factor));
-        return new FleetScene(
-                name, nodes, servers, engine, fewer, bursts, losses, newSeconds, preferred, placesPreempt);
+        return new FleetScenario(
+                name, nodes, servers, engine, fewer, bursts, outages, newDurationSeconds, preferredShare, preemptsForSlots);
     }
 
     /** Returns the same scene with other disturbances. */
-    public FleetScene with(List<Burst> newBursts, List<Loss> newLosses) {
-        return new FleetScene(
-                name, gateways, engines, engine, kinds, newBursts, newLosses, seconds, preferred, placesPreempt);
+    public FleetScenario withDisturbances(List<Burst> newBursts, List<Outage> newOutages) {
+        return new FleetScenario(
+                name, gateways, engines, engine, kinds, newBursts, newOutages, durationSeconds, preferredShare, preemptsForSlots);
     }
 
     /** Returns the same scene with a share of the requests from a workspace of a more urgent rank. */
-    public FleetScene preferring(double share) {
-        return new FleetScene(name, gateways, engines, engine, kinds, bursts, losses, seconds, share, placesPreempt);
+    public FleetScenario withPreferredShare(double share) {
+        return new FleetScenario(name, gateways, engines, engine, kinds, bursts, outages, durationSeconds, share, preemptsForSlots);
     }
 
     /** Returns the same scene with engines that preempt for a more urgent request that finds no free place. */
-    public FleetScene preemptingForPlaces() {
-        return new FleetScene(name, gateways, engines, engine, kinds, bursts, losses, seconds, preferred, true);
+    public FleetScenario withSlotPreemption() {
+        return new FleetScenario(name, gateways, engines, engine, kinds, bursts, outages, durationSeconds, preferredShare, true);
     }
 
     /** Returns long prompts of the last rank in a burst beside short ones, on engines with many places and much memory. */
-    public static FleetScene manyPlaces() {
-        return new FleetScene(
+    public static FleetScenario manySlots() {
+        return new FleetScenario(
                 "many-places",
                 29,
                 36,
-                new EngineTerms(96, 201, 1_239_897, 157, 4_096, 3.55, 0.0462, 0.00115, 0.109, 0.82, 8, 6),
+                new EngineParameters(96, 201, 1_239_897, 157, 4_096, 3.55, 0.0462, 0.00115, 0.109, 0.82, 8, 6),
                 List.of(
-                        new PromptKind(
+                        new RequestKind(
                                 "draft",
                                 2,
                                 208,
-                                List.of(new PromptKind.SharedPart(13_300, 0.7, 1_217)),
+                                List.of(new RequestKind.SharedPart(13_300, 0.7, 1_217)),
                                 3_720,
                                 1.1,
                                 20,
@@ -91,13 +91,13 @@
                                 1.4,
                                 0.4,
                                 false),
-                        new PromptKind(
+                        new RequestKind(
                                 "quote",
                                 1,
                                 97.4,
                                 List.of(
-                                        new PromptKind.SharedPart(2_520, 0.4, 4),
-                                        new PromptKind.SharedPart(3_780, 0.7, 1_365)),
+                                        new RequestKind.SharedPart(2_520, 0.4, 4),
+                                        new RequestKind.SharedPart(3_780, 0.7, 1_365)),
                                 2_890,
                                 1.0,
                                 8.7,
@@ -108,13 +108,13 @@
                                 2.1,
                                 0.61,
                                 true),
-                        new PromptKind(
+                        new RequestKind(
                                 "summary",
                                 0,
                                 132,
                                 List.of(
-                                        new PromptKind.SharedPart(210, 0.4, 16),
-                                        new PromptKind.SharedPart(140, 0.7, 822)),
+                                        new RequestKind.SharedPart(210, 0.4, 16),
+                                        new RequestKind.SharedPart(140, 0.7, 822)),
                                 1_110,
                                 1.0,
                                 28.7,
@@ -130,27 +130,27 @@
                         new Burst("quote", 1.5, 9.6, 13.1),
                         new Burst("summary", 2.76, 11, 16),
                         new Burst("draft", 2.6, 17.5, 21)),
-                List.of(new Loss(0.25, 9.5, 11.5)),
+                List.of(new Outage(0.25, 9.5, 11.5)),
                 26,
                 0,
                 false);
     }
 
     /** Returns plans in a burst beside questions of the first rank, on engines with few places and little memory. */
-    public static FleetScene fewPlaces() {
-        return new FleetScene(
+    public static FleetScenario fewSlots() {
+        return new FleetScenario(
                 "few-places",
                 33,
                 37,
-                new EngineTerms(16, 33, 271_759, 42.8, 1_024, 6.35, 0.00115, 0.0129, 0.97, 1.77, 2.5, 3),
+                new EngineParameters(16, 33, 271_759, 42.8, 1_024, 6.35, 0.00115, 0.0129, 0.97, 1.77, 2.5, 3),
                 List.of(
-                        new PromptKind(
+                        new RequestKind(
                                 "plan",
                                 1,
                                 68.2,
                                 List.of(
-                                        new PromptKind.SharedPart(2_520, 0.4, 4),
-                                        new PromptKind.SharedPart(3_780, 0.7, 801)),
+                                        new RequestKind.SharedPart(2_520, 0.4, 4),
+                                        new RequestKind.SharedPart(3_780, 0.7, 801)),
                                 2_890,
                                 1.0,
                                 17.4,
@@ -161,13 +161,13 @@
                                 4.1,
                                 1.2,
                                 true),
-                        new PromptKind(
+                        new RequestKind(
                                 "question",
                                 0,
                                 52,
                                 List.of(
-                                        new PromptKind.SharedPart(119, 0.4, 53),
-                                        new PromptKind.SharedPart(79, 0.7, 797)),
+                                        new RequestKind.SharedPart(119, 0.4, 53),
+                                        new RequestKind.SharedPart(79, 0.7, 797)),
                                 628,
                                 1.0,
                                 97.1,
@@ -179,27 +179,27 @@
                                 0.081,
                                 false)),
                 List.of(new Burst("plan", 2.4, 0.5, 9.5), new Burst("plan", 2.2, 17.5, 21)),
-                List.of(new Loss(0.25, 9.5, 11.5)),
+                List.of(new Outage(0.25, 9.5, 11.5)),
                 26,
                 0,
                 false);
     }
 
     /** Returns plans in bursts beside many questions of the first rank with long answers; most plans share a part of their own. */
-    public static FleetScene ownParts() {
-        return new FleetScene(
+    public static FleetScenario ownParts() {
+        return new FleetScenario(
                 "own-parts",
                 30,
                 38,
-                new EngineTerms(32, 67, 295_794, 42.8, 1_024, 6.35, 0.00115, 0.0129, 0.97, 1.77, 2.5, 4),
+                new EngineParameters(32, 67, 295_794, 42.8, 1_024, 6.35, 0.00115, 0.0129, 0.97, 1.77, 2.5, 4),
                 List.of(
-                        new PromptKind(
+                        new RequestKind(
                                 "plan",
                                 1,
                                 71.8,
                                 List.of(
-                                        new PromptKind.SharedPart(2_520, 0.4, 4),
-                                        new PromptKind.SharedPart(3_780, 0.7, 581)),
+                                        new RequestKind.SharedPart(2_520, 0.4, 4),
+                                        new RequestKind.SharedPart(3_780, 0.7, 581)),
                                 2_890,
                                 1.0,
                                 13,
@@ -210,13 +210,13 @@
                                 5.2,
                                 1.5,
                                 true),
-                        new PromptKind(
+                        new RequestKind(
                                 "question",
                                 0,
                                 127,
                                 List.of(
-                                        new PromptKind.SharedPart(119, 0.4, 80),
-                                        new PromptKind.SharedPart(79, 0.7, 636)),
+                                        new RequestKind.SharedPart(119, 0.4, 80),
+                                        new RequestKind.SharedPart(79, 0.7, 636)),
                                 628,
                                 1.0,
                                 73,
@@ -231,7 +231,7 @@
                         new Burst("plan", 2.76, 0.5, 9.5),
                         new Burst("question", 2.44, 11, 16),
                         new Burst("plan", 2.76, 17.5, 21)),
-                List.of(new Loss(0.25, 18.8, 24)),
+                List.of(new Outage(0.25, 18.8, 24)),
                 26,
                 0,
                 false);
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelCall.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelCall.java
@@ -11,61 +11,61 @@
 
 /** One request of a caller, with its tries. */
 final class ModelCall {
-    final PromptKind kind;
+    final RequestKind kind;
     final Optional<WorkspaceConfig> workspace;
     final Prompt prompt;
     final int outputTokens;
-    final double firstAsked;
-    final double deadline;
-    final double size;
-    int refusals;
+    final double requestedAtMillis;
+    final double deadlineMillis;
+    final double relativeSize;
+    int rejections;
     int sends;
 
     // The newest try.
     ModelGateway gateway;
     EngineModel engine;
     PlacementRequest request;
-    PlacementPolicy.Decision placed;
-    RankGate.PendingRequest waiting;
-    double sentAt;
-    int level;
+    PlacementPolicy.Decision decision;
+    RankGate.PendingRequest pendingRequest;
+    double sentAtMillis;
+    int priorityLevel;
     long sequence;
-    double fetchedAt = -1;
-    final List<String> arriving = new ArrayList<>();
-    boolean started;
-    int toRead;
-    int read;
-    int generated;
-    double firstEventAt = Double.NaN;
-    double lastEventAt;
-    boolean paused;
-    boolean over;
+    double fetchedAtMillis = -1;
+    final List<String> fetchingParts = new ArrayList<>();
+    boolean prefillStarted;
+    int tokensToPrefill;
+    int prefilledTokens;
+    int generatedTokens;
+    double firstEventAtMillis = Double.NaN;
+    double lastEventAtMillis;
+    boolean gapExceeded;
+    boolean ended;
 
     ModelCall(
-            PromptKind kind,
+            RequestKind kind,
             Optional<WorkspaceConfig> workspace,
             Prompt prompt,
             int outputTokens,
-            double now,
-            double size) {
+            double nowMillis,
+            double relativeSize) {
         this.kind = kind;
         this.workspace = workspace;
         this.prompt = prompt;
         this.outputTokens = outputTokens;
-        this.firstAsked = now;
-        this.deadline = now + kind.timeoutMillis();
-        this.size = size;
-        this.lastEventAt = now;
+        this.requestedAtMillis = nowMillis;
+        this.deadlineMillis = nowMillis + kind.timeoutMillis();
+        this.relativeSize = relativeSize;
+        this.lastEventAtMillis = nowMillis;
     }
 
     /** Returns what an answer on time is worth. */
-    double owed() {
-        return kind.worth() * (0.3 + 0.7 * Math.min(4, size));
+    double possibleCredit() {
+        return kind.onTimeValue() * (0.3 + 0.7 * Math.min(4, relativeSize));
     }
 
     /** Returns what the answer that was given is worth. */
-    double earned() {
-        boolean late = paused || firstEventAt - firstAsked > kind.targetMillis();
-        return owed() * (late ? kind.lateWorth() / kind.worth() : 1);
+    double earnedCredit() {
+        boolean late = gapExceeded || firstEventAtMillis - requestedAtMillis > kind.firstEventTargetMillis();
+        return possibleCredit() * (late ? kind.lateValue() / kind.onTimeValue() : 1);
     }
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
@@ -27,117 +27,117 @@
 
 /** One gateway: the real decision code, and reports of its peers that are as late as those of a deployed one. */
 final class ModelGateway {
-    private static final int MOST_SENDS = 4;
+    private static final int MAX_SENDS = 4;
     /** Time that a report takes to the other gateways, with what waits before it. */
-    private static final double DELAY_MILLIS = 2;
+    private static final double REPORT_DELAY_MILLIS = 2;
 
     private final String name;
     private final FleetModel fleet;
-    private final FleetScene scene;
+    private final FleetScenario scenario;
     private final ServiceConfig service;
     private final PlacementPolicy placement;
-    private final Set<Mechanism> off;
-    private final RankGate ranks = RankGate.create();
-    private final PeerTable table;
-    private final Map<String, ServerInstance> servers = new LinkedHashMap<>();
-    private final PeerLoadUpdater load = PeerLoadUpdater.of(servers::get);
-    private final List<KeptParts> kept = new ArrayList<>();
-    private long reports;
-    private long tokensSince;
-    private double toldAt;
+    private final Set<Mechanism> disabledMechanisms;
+    private final RankGate rankGate = RankGate.create();
+    private final PeerTable peerTable;
+    private final Map<String, ServerInstance> instanceById = new LinkedHashMap<>();
+    private final PeerLoadUpdater peerLoadUpdater = PeerLoadUpdater.of(instanceById::get);
+    private final List<CachedPrompt> cachedPrompts = new ArrayList<>();
+    private long reportCount;
+    private long tokensSinceReport;
+    private double reportedAtMillis;
 
-    private record KeptParts(String server, List<PromptPart> parts) {}
+    private record CachedPrompt(String server, List<PromptPart> parts) {}
 
-    ModelGateway(String name, FleetModel fleet, FleetScene scene, Set<Mechanism> off) {
+    ModelGateway(String name, FleetModel fleet, FleetScenario scenario, Set<Mechanism> disabledMechanisms) {
         this.name = name;
         this.fleet = fleet;
-        this.scene = scene;
-        EngineTerms engine = scene.engine();
+        this.scenario = scenario;
+        EngineParameters engine = scenario.engine();
         this.service =
-                new ServiceConfig("model", 300, engine.slots(), engine.memoryTokens(), 1, 8_000 / engine.fetchMicros());
-        this.off = off;
-        this.placement = PromptAwarePlacement.without(off);
-        this.table = PeerTable.of(name);
+                new ServiceConfig("model", 300, engine.slots(), engine.cacheCapacityTokens(), 1, 8_000 / engine.fetchMicrosPerToken());
+        this.disabledMechanisms = disabledMechanisms;
+        this.placement = PromptAwarePlacement.without(disabledMechanisms);
+        this.peerTable = PeerTable.of(name);
         placement.updateMinEventGap(
-                scene.kinds().stream().mapToLong(PromptKind::gapMillis).min().orElse(120));
-        for (int i = 0; i < scene.engines(); i++) {
+                scenario.kinds().stream().mapToLong(RequestKind::maxGapMillis).min().orElse(120));
+        for (int i = 0; i < scenario.engines(); i++) {
             String id = FleetModel.engineId(i);
-            servers.put(
+            instanceById.put(
                     id,
                     ServerInstance.of(new ServerRegistration(
                             id, 0, "model", new InetSocketAddress("127.0.0.1", 1), "d", engine.slots(), false)));
         }
     }
 
-    private static long millis(double now) {
-        return (long) now;
+    private static long wholeMillis(double nowMillis) {
+        return (long) nowMillis;
     }
 
     ServerInstance server(String id) {
-        return servers.get(id);
+        return instanceById.get(id);
     }
 
     /** Takes a caller's request, or one that another engine has failed. */
-    void take(ModelCall call, Set<String> tried) {
-        double now = fleet.now();
-        if (call.over) {
+    void dispatch(ModelCall call, Set<String> triedServers) {
+        double nowMillis = fleet.nowMillis();
+        if (call.ended) {
             return;
         }
-        List<ServerInstance> candidates = candidates(tried, millis(now));
+        List<ServerInstance> candidates = candidates(triedServers, wholeMillis(nowMillis));
         PlacementRequest request = new PlacementRequest(fleet.route(call.kind), service, call.prompt, "d");
         call.request = request;
-        Optional<PlacementPolicy.Decision> placed = placement.place(request, candidates, millis(now));
-        if (placed.isEmpty() || call.sends >= MOST_SENDS) {
-            fleet.refused(call, 300 + fleet.random().nextInt(300), "no_server");
+        Optional<PlacementPolicy.Decision> decision = placement.place(request, candidates, wholeMillis(nowMillis));
+        if (decision.isEmpty() || call.sends >= MAX_SENDS) {
+            fleet.rejected(call, 300 + fleet.random().nextInt(300), "no_server");
             return;
         }
-        ServerInstance chosen = placed.get().server();
+        ServerInstance chosen = decision.get().server();
         if (call.sends == 0
-                && !off.contains(Mechanism.RANK_GATE)
-                && ranks.mustYield(rank(call), chosen.instanceId(), millis(now))) {
-            fleet.refused(call, 300 + fleet.random().nextInt(300), "yields");
+                && !disabledMechanisms.contains(Mechanism.RANK_GATE)
+                && rankGate.mustYield(rank(call), chosen.instanceId(), wholeMillis(nowMillis))) {
+            fleet.rejected(call, 300 + fleet.random().nextInt(300), "yields");
             return;
         }
-        boolean last = fleet.config().isLeastUrgent(call.workspace, request.route(), service.name());
-        if (call.sends == 0 && last && !off.contains(Mechanism.ADMISSION)) {
-            OptionalLong comeBack = AdmissionControl.retryAfterMillis(
+        boolean leastUrgent = fleet.config().isLeastUrgent(call.workspace, request.route(), service.name());
+        if (call.sends == 0 && leastUrgent && !disabledMechanisms.contains(Mechanism.ADMISSION)) {
+            OptionalLong retryAfterMillis = AdmissionControl.retryAfterMillis(
                     request.route(),
-                    placed.get().expectedWaitMillis(),
-                    millis(call.deadline - now),
+                    decision.get().expectedWaitMillis(),
+                    wholeMillis(call.deadlineMillis - nowMillis),
                     fleet.random().nextDouble());
-            if (comeBack.isPresent()) {
-                fleet.refused(call, comeBack.getAsLong(), "turned away");
+            if (retryAfterMillis.isPresent()) {
+                fleet.rejected(call, retryAfterMillis.getAsLong(), "turned away");
                 return;
             }
         }
         call.sends++;
         call.gateway = this;
-        call.placed = placed.get();
-        call.sentAt = now;
-        call.level = fleet.config()
+        call.decision = decision.get();
+        call.sentAtMillis = nowMillis;
+        call.priorityLevel = fleet.config()
                 .priorityLevel(
                         call.workspace,
                         request.route(),
                         service.name(),
-                        placed.get().step());
+                        decision.get().step());
         call.sequence = fleet.nextSequence();
-        chosen.recordSent(placed.get().tokensToPrefill());
-        placement.recordSent(request, placed.get(), millis(now));
-        call.waiting =
-                RankGate.PendingRequest.of(chosen.instanceId(), rank(call), millis(now) + call.kind.targetMillis());
-        ranks.recordSent(call.waiting);
-        noteKept(chosen, call);
+        chosen.recordSent(decision.get().tokensToPrefill());
+        placement.recordSent(request, decision.get(), wholeMillis(nowMillis));
+        call.pendingRequest =
+                RankGate.PendingRequest.of(chosen.instanceId(), rank(call), wholeMillis(nowMillis) + call.kind.firstEventTargetMillis());
+        rankGate.recordSent(call.pendingRequest);
+        recordSentPrompt(chosen, call);
         EngineModel engine = fleet.engine(chosen.id());
-        Set<String> again = new HashSet<>(tried);
-        again.add(chosen.id());
+        Set<String> excludedServers = new HashSet<>(triedServers);
+        excludedServers.add(chosen.id());
         if (!engine.up()) {
             settle(call, true);
-            chosen.health().recordUnreachable(millis(now));
-            take(call, again);
-        } else if (!engine.offer(call, now)) {
-            fleet.fullEngines++;
+            chosen.health().recordUnreachable(wholeMillis(nowMillis));
+            dispatch(call, excludedServers);
+        } else if (!engine.offer(call, nowMillis)) {
+            fleet.rejectedOffers++;
             settle(call, true);
-            take(call, again);
+            dispatch(call, excludedServers);
         }
     }
 
@@ -145,113 +145,113 @@
         return fleet.config().rank(call.workspace, call.request.route());
     }
 
-    private List<ServerInstance> candidates(Set<String> tried, long now) {
+    private List<ServerInstance> candidates(Set<String> triedServers, long nowMillis) {
         List<ServerInstance> usable = new ArrayList<>();
-        for (ServerInstance server : servers.values()) {
-            if (!tried.contains(server.id()) && server.health().probeDue(now)) {
-                server.health().recordProbe(now);
+        for (ServerInstance server : instanceById.values()) {
+            if (!triedServers.contains(server.id()) && server.health().probeDue(nowMillis)) {
+                server.health().recordProbe(nowMillis);
                 return List.of(server);
             }
-            if (!tried.contains(server.id()) && server.health().usable(now)) {
+            if (!triedServers.contains(server.id()) && server.health().usable(nowMillis)) {
                 usable.add(server);
             }
         }
         return usable;
     }
 
-    private void noteKept(ServerInstance server, ModelCall call) {
-        if (kept.size() < ReportSchedule.MAX_PROMPTS_PER_REPORT) {
-            kept.add(new KeptParts(server.instanceId(), call.prompt.sharedParts()));
+    private void recordSentPrompt(ServerInstance server, ModelCall call) {
+        if (cachedPrompts.size() < ReportSchedule.MAX_PROMPTS_PER_REPORT) {
+            cachedPrompts.add(new CachedPrompt(server.instanceId(), call.prompt.sharedParts()));
         }
-        tokensSince += call.prompt.inputTokens();
-        if (tokensSince >= ReportSchedule.EARLY_REPORT_TOKENS
-                && fleet.now() - toldAt >= ReportSchedule.minIntervalMillis(peers())) {
-            tell();
+        tokensSinceReport += call.prompt.inputTokens();
+        if (tokensSinceReport >= ReportSchedule.EARLY_REPORT_TOKENS
+                && fleet.nowMillis() - reportedAtMillis >= ReportSchedule.minIntervalMillis(peerCount())) {
+            sendReport();
         }
     }
 
-    private int peers() {
-        return scene.gateways() - 1;
+    private int peerCount() {
+        return scenario.gateways() - 1;
     }
 
     /** The first event of an answer has come. */
-    void began(ModelCall call) {
-        ranks.recordSettled(call.waiting);
-        ServerInstance server = call.placed.server();
-        server.recordPrefill(call.placed.tokensToPrefill());
+    void recordFirstEvent(ModelCall call) {
+        rankGate.recordSettled(call.pendingRequest);
+        ServerInstance server = call.decision.server();
+        server.recordPrefill(call.decision.tokensToPrefill());
         server.health().recordSuccess();
-        placement.recordPrefill(call.request, call.placed, millis(fleet.now() - call.sentAt));
+        placement.recordPrefill(call.request, call.decision, wholeMillis(fleet.nowMillis() - call.sentAtMillis));
     }
 
     /** A request has left its engine, whichever way. */
-    void settle(ModelCall call, boolean reading) {
-        ranks.recordSettled(call.waiting);
-        ServerInstance server = call.placed.server();
-        if (reading) {
-            server.recordPrefill(call.placed.tokensToPrefill());
+    void settle(ModelCall call, boolean prefillPending) {
+        rankGate.recordSettled(call.pendingRequest);
+        ServerInstance server = call.decision.server();
+        if (prefillPending) {
+            server.recordPrefill(call.decision.tokensToPrefill());
         }
         server.recordEnd();
-        placement.recordEnd(call.request, call.placed, millis(fleet.now()));
+        placement.recordEnd(call.request, call.decision, wholeMillis(fleet.nowMillis()));
     }
 
     void report() {
-        table.forgetSilent(millis(fleet.now()));
-        takeSums();
-        tell();
-        fleet.at(fleet.now() + ReportSchedule.idleIntervalMillis(peers()), this::report);
+        peerTable.forgetSilent(wholeMillis(fleet.nowMillis()));
+        updatePeerTotals();
+        sendReport();
+        fleet.scheduleAt(fleet.nowMillis() + ReportSchedule.idleIntervalMillis(peerCount()), this::report);
     }
 
-    private void tell() {
-        Map<String, PeerReport.InstanceLoad> uses = new HashMap<>();
-        for (ServerInstance server : servers.values()) {
+    private void sendReport() {
+        Map<String, PeerReport.InstanceLoad> loads = new HashMap<>();
+        for (ServerInstance server : instanceById.values()) {
             if (server.inFlight() > 0) {
-                uses.put(
+                loads.put(
                         server.instanceId(),
                         new PeerReport.InstanceLoad(server.inFlight(), server.pendingPrefillTokens()));
             }
         }
-        long interval = ReportSchedule.idleIntervalMillis(peers());
+        long intervalMillis = ReportSchedule.idleIntervalMillis(peerCount());
         PeerReport report = new PeerReport(
-                name, 1, ++reports, name, true, 1, 0, 0, interval, uses, placement.localDemands(millis(fleet.now())));
-        List<KeptParts> told = List.copyOf(kept);
-        kept.clear();
-        tokensSince = 0;
-        toldAt = fleet.now();
-        fleet.at(fleet.now() + DELAY_MILLIS, () -> {
+                name, 1, ++reportCount, name, true, 1, 0, 0, intervalMillis, loads, placement.localDemands(wholeMillis(fleet.nowMillis())));
+        List<CachedPrompt> prompts = List.copyOf(cachedPrompts);
+        cachedPrompts.clear();
+        tokensSinceReport = 0;
+        reportedAtMillis = fleet.nowMillis();
+        fleet.scheduleAt(fleet.nowMillis() + REPORT_DELAY_MILLIS, () -> {
             for (ModelGateway other : fleet.gateways()) {
                 if (other != this) {
-                    other.hear(report, told);
+                    other.receiveReport(report, prompts);
                 }
             }
         });
     }
 
-    private void hear(PeerReport report, List<KeptParts> told) {
-        long now = millis(fleet.now());
-        Map<String, PeerReport.InstanceLoad> before = table.loads(report.name(), now);
-        if (!table.accept(report, now)) {
+    private void receiveReport(PeerReport report, List<CachedPrompt> prompts) {
+        long nowMillis = wholeMillis(fleet.nowMillis());
+        Map<String, PeerReport.InstanceLoad> previousLoads = peerTable.loads(report.name(), nowMillis);
+        if (!peerTable.accept(report, nowMillis)) {
             return;
         }
-        for (KeptParts parts : told) {
-            placement.recordPeerSent(servers.get(parts.server()), service, parts.parts(), now);
+        for (CachedPrompt parts : prompts) {
+            placement.recordPeerSent(instanceById.get(parts.server()), service, parts.parts(), nowMillis);
         }
-        if (off.contains(Mechanism.PEER_LOAD)) {
+        if (disabledMechanisms.contains(Mechanism.PEER_LOAD)) {
             return;
         }
-        load.applyChange(before, report.loads());
+        peerLoadUpdater.applyChange(previousLoads, report.loads());
     }
 
-    private void takeSums() {
-        if (off.contains(Mechanism.PEER_LOAD)) {
+    private void updatePeerTotals() {
+        if (disabledMechanisms.contains(Mechanism.PEER_LOAD)) {
             return;
         }
-        long now = millis(fleet.now());
-        load.applyTotals(servers.values(), table.loads(now));
-        placement.updatePeerDemands(table.demands(now));
+        long nowMillis = wholeMillis(fleet.nowMillis());
+        peerLoadUpdater.applyTotals(instanceById.values(), peerTable.loads(nowMillis));
+        placement.updatePeerDemands(peerTable.demands(nowMillis));
     }
 
     /** An engine has lost power. */
-    void lost(String engine) {
+    void engineLost(String engine) {
         placement.forgetInstance(engine);
     }
 }
--- a/harness/src/test/java/org/tanagerhinge/bench/WholePathTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/WholePathTest.java
@@ -213,7 +213,7 @@
      */
     @Test
     void aLeavingServerIsLeftAlone() throws Exception {
-        cluster.mark("engine-2", DesiredServerState.LEAVING);
+        cluster.setDesiredState("engine-2", DesiredServerState.LEAVING);
         LocalCluster.await(() -> cluster.agent("engine-2").revision().servers()
                         == cluster.router("router-1").revision().servers()
                 && cluster.agent("engine-2").revision().servers()
@@ -223,7 +223,7 @@
             completion(i % 2, "chat", "leaving " + i + " [length 3]", Map.of()).send();
         }
         assertEquals(before, cluster.engine("engine-2").runs().size());
-        cluster.mark("engine-2", DesiredServerState.SERVING);
+        cluster.setDesiredState("engine-2", DesiredServerState.SERVING);
         LocalCluster.await(() -> cluster.agent("engine-2").revision().servers()
                 == cluster.router("router-2").revision().servers());
     }
--- a/harness/src/test/java/org/tanagerhinge/bench/cluster/FreePortsTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/cluster/FreePortsTest.java
@@ -17,11 +17,11 @@
     private static final int DRAWS = 2_000;
 
     @Test
-    void noPortIsGivenOutTwice() throws IOException {
-        Set<Integer> seen = new HashSet<>();
+    void returnsEachPortOnlyOnce() throws IOException {
+        Set<Integer> returnedPorts = new HashSet<>();
         for (int i = 0; i < DRAWS; i++) {
             int port = FreePorts.next();
-            assertTrue(seen.add(port), "port " + port + " again");
+            assertTrue(returnedPorts.add(port), "port " + port + " again");
         }
     }
 }
--- a/harness/src/test/java/org/tanagerhinge/bench/fleet/FleetModelTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/fleet/FleetModelTest.java
@@ -13,15 +13,15 @@
 /** Many gateways that decide on late reports of each other, on model engines: what each load pattern comes to. */
 class FleetModelTest {
     private static final int SECONDS = 14;
-    private static final FleetScene SCENE = FleetScene.manyPlaces().smaller(3, SECONDS);
-    private static final FleetScene.Burst DRAFTS = new FleetScene.Burst("draft", 2.9, 0.5, 8);
+    private static final FleetScenario SCENARIO = FleetScenario.manySlots().scaledDown(3, SECONDS);
+    private static final FleetScenario.Burst DRAFTS = new FleetScenario.Burst("draft", 2.9, 0.5, 8);
 
     private static int served(FleetResult result, String kind) {
         return result.kind(kind).onTime() + result.kind(kind).late();
     }
 
     private static double onTime(FleetResult result, String kind) {
-        return result.kind(kind).onTime() / (double) result.kind(kind).asked();
+        return result.kind(kind).onTime() / (double) result.kind(kind).requests();
     }
 
     private static double meanCredit(FleetResult result, int fromSecond) {
@@ -33,47 +33,47 @@
     }
 
     @Test
-    void theSameSeedPlaysTheSameDay() {
-        FleetScene scene = SCENE.smaller(2, 4);
+    void sameSeedReproducesTheRun() {
+        FleetScenario scenario = SCENARIO.scaledDown(2, 4);
         assertEquals(
-                FleetModel.play(scene, 7, Set.of()).text(),
-                FleetModel.play(scene, 7, Set.of()).text());
+                FleetModel.simulate(scenario, 7, Set.of()).summary(),
+                FleetModel.simulate(scenario, 7, Set.of()).summary());
     }
 
     /** Load: 2.9 times the long prompts of the last rank, on engines that hold nothing yet. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void inABurstOfLongPromptsAdmissionServesMoreInTime(long seed) {
-        FleetScene scene = SCENE.with(List.of(DRAFTS), List.of());
-        FleetResult with = FleetModel.play(scene, seed, Set.of());
-        FleetResult without = FleetModel.play(scene, seed, Set.of(Mechanism.ADMISSION));
+    void admissionServesMoreOnTimeInBurstOfLongPrompts(long seed) {
+        FleetScenario scenario = SCENARIO.withDisturbances(List.of(DRAFTS), List.of());
+        FleetResult with = FleetModel.simulate(scenario, seed, Set.of());
+        FleetResult without = FleetModel.simulate(scenario, seed, Set.of(Mechanism.ADMISSION));
         for (String kind : List.of("draft", "quote")) {
-            assertTrue(onTime(with, kind) > onTime(without, kind) + 0.05, kind + "\n" + with.text() + without.text());
+            assertTrue(onTime(with, kind) > onTime(without, kind) + 0.05, kind + "\n" + with.summary() + without.summary());
         }
-        assertTrue(onTime(with, "summary") > onTime(without, "summary") - 0.05, with.text() + without.text());
-        assertTrue(with.kind("draft").left() * 10 < without.kind("draft").left() + 10, with.text() + without.text());
-        assertTrue(served(with, "draft") * 2 > with.kind("draft").asked(), with.text());
-        assertTrue(served(with, "summary") * 100 > 95 * with.kind("summary").asked(), with.text());
+        assertTrue(onTime(with, "summary") > onTime(without, "summary") - 0.05, with.summary() + without.summary());
+        assertTrue(with.kind("draft").abandoned() * 10 < without.kind("draft").abandoned() + 10, with.summary() + without.summary());
+        assertTrue(served(with, "draft") * 2 > with.kind("draft").requests(), with.summary());
+        assertTrue(served(with, "summary") * 100 > 95 * with.kind("summary").requests(), with.summary());
     }
 
     /** Load: a quarter of the engines is gone in the burst and comes back empty; long prompts come as usual after it. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void theLossOfAQuarterOfTheEnginesInABurstIsOverSoonAfterIt(long seed) {
-        FleetScene scene = SCENE.with(List.of(DRAFTS), List.of(new FleetScene.Loss(0.25, 5, 7)));
-        FleetResult result = FleetModel.play(scene, seed, Set.of());
+    void creditRecoversAfterLossOfAQuarterOfTheEngines(long seed) {
+        FleetScenario scenario = SCENARIO.withDisturbances(List.of(DRAFTS), List.of(new FleetScenario.Outage(0.25, 5, 7)));
+        FleetResult result = FleetModel.simulate(scenario, seed, Set.of());
         double after = meanCredit(result, 11);
-        assertTrue(after > 0.85, after + "\n" + result.text());
+        assertTrue(after > 0.85, after + "\n" + result.summary());
     }
 
     /** Load: none beyond the usual, on engines that hold nothing yet: it is no burst, and hardly anybody may be sent away. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void onACalmDayHardlyAnybodyGetsNothing(long seed) {
-        FleetResult result = FleetModel.play(SCENE.with(List.of(), List.of()), seed, Set.of());
+    void fewRequestsFailWithoutDisturbances(long seed) {
+        FleetResult result = FleetModel.simulate(SCENARIO.withDisturbances(List.of(), List.of()), seed, Set.of());
         FleetResult.Tally drafts = result.kind("draft");
-        assertTrue(drafts.failed() * 100 < 2 * drafts.asked(), result.text());
-        assertTrue(meanCredit(result, 8) > 0.93, result.text());
+        assertTrue(drafts.failed() * 100 < 2 * drafts.requests(), result.summary());
+        assertTrue(meanCredit(result, 8) > 0.93, result.summary());
     }
 
     /**
@@ -93,37 +93,37 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void noRequestIsPreemptedWhileOneOfALessUrgentKindRunsOn(long seed) {
-        FleetScene scene = FleetScene.fewPlaces()
-                .smaller(3, 10)
-                .preferring(0.15)
-                .preemptingForPlaces()
-                .with(
-                        List.of(new FleetScene.Burst("plan", 3, 1, 8), new FleetScene.Burst("question", 5, 2, 8)),
-                        List.of(new FleetScene.Loss(0.5, 3, 8)));
-        FleetResult result = FleetModel.play(scene, seed, Set.of());
-        assertTrue(result.preempted() > 50, "engines are short of places\n" + result.text());
-        assertEquals(0, result.preemptedBesideLessUrgent(), result.text());
+    void preemptsNoRequestBesideOneOfALessUrgentKind(long seed) {
+        FleetScenario scenario = FleetScenario.fewSlots()
+                .scaledDown(3, 10)
+                .withPreferredShare(0.15)
+                .withSlotPreemption()
+                .withDisturbances(
+                        List.of(new FleetScenario.Burst("plan", 3, 1, 8), new FleetScenario.Burst("question", 5, 2, 8)),
+                        List.of(new FleetScenario.Outage(0.5, 3, 8)));
+        FleetResult result = FleetModel.simulate(scenario, seed, Set.of());
+        assertTrue(result.preempted() > 50, "engines are short of places\n" + result.summary());
+        assertEquals(0, result.preemptedBesideLessUrgent(), result.summary());
     }
 
     @Test
-    void gatewaysThatChooseAmongFewEnginesReadLessAgain() {
+    void holdersOnlyReducesRepeatedPrefill() {
         long few = 0;
         long all = 0;
         for (long seed = 1; seed <= 3; seed++) {
-            FleetScene scene = FleetScene.fewPlaces();
-            few += FleetModel.play(scene, seed, Set.of(Mechanism.FETCH)).readAgain();
-            all += FleetModel.play(scene, seed, Set.of(Mechanism.FETCH, Mechanism.HOLDERS_ONLY))
-                    .readAgain();
+            FleetScenario scenario = FleetScenario.fewSlots();
+            few += FleetModel.simulate(scenario, seed, Set.of(Mechanism.FETCH)).repeatedPrefill();
+            all += FleetModel.simulate(scenario, seed, Set.of(Mechanism.FETCH, Mechanism.HOLDERS_ONLY))
+                    .repeatedPrefill();
         }
         assertTrue(few < all, few + " tokens read again, and " + all);
     }
 
     @Test
-    void whatIsFetchedIsNotReadAgain() {
-        FleetScene scene = SCENE.with(List.of(DRAFTS), List.of());
-        FleetResult with = FleetModel.play(scene, 1, Set.of());
-        FleetResult without = FleetModel.play(scene, 1, Set.of(Mechanism.FETCH));
-        assertTrue(with.readAgain() < 0.9 * without.readAgain(), with.text() + without.text());
+    void fetchReducesRepeatedPrefill() {
+        FleetScenario scenario = SCENARIO.withDisturbances(List.of(DRAFTS), List.of());
+        FleetResult with = FleetModel.simulate(scenario, 1, Set.of());
+        FleetResult without = FleetModel.simulate(scenario, 1, Set.of(Mechanism.FETCH));
+        assertTrue(with.repeatedPrefill() < 0.9 * without.repeatedPrefill(), with.summary() + without.summary());
     }
 }
