--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/CapacityMeasurement.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/CapacityMeasurement.java
@@ -11,10 +11,10 @@
 import org.tanagerhinge.core.result.TanagerhingeException;
 
 /**
- * Measures what a node costs against the size of the system: control traffic, processor time and heap.
+ * Measures control traffic, CPU time and heap of a node as a function of the size of the system.
  *
- * <p>Each figure is the median of several repeats with their least and greatest. Sizes beyond one machine are measured
- * on the real decision code and codec with the messages of that many peers fed in, not on that many processes.
+ * <p>Each result is the median of several repeats, with minimum and maximum. Sizes beyond one machine are measured
+ * with the real decision code and codec, which receive the messages of that many peers in one process.
  */
 public final class CapacityMeasurement {
     private static final int REPEATS = 5;
@@ -24,7 +24,7 @@
 
     private CapacityMeasurement() {}
 
-    /** Measures and prints all slopes, and writes them to a file if one is named. */
+    /** Runs and prints all measurements, and writes them to a file unless {@code jsonFile} is null. */
     public static int run(String jsonFile) throws TanagerhingeException, IOException {
         CapacityMeasurement capacity = new CapacityMeasurement();
         ControlTrafficCost.measure(capacity);
@@ -37,17 +37,17 @@
         return 0;
     }
 
-    /** Repeats a measurement and notes its median and spread. */
+    /** Repeats a measurement and records its median and range. */
     void measureAndRecord(String label, long size, String unit, DoubleSupplier measurement) {
         double[] values = new double[REPEATS + 1];
         for (int i = 0; i < values.length; i++) {
             values[i] = measurement.getAsDouble();
         }
-        // The first pays for compiling the code.
+        // The first value includes the time to compile the code.
         record(label, size, unit, Arrays.copyOfRange(values, 1, values.length));
     }
 
-    /** Notes values that were measured elsewhere. */
+    /** Records and prints the median and range of measured values. */
     void record(String label, long size, String unit, double... values) {
         Arrays.sort(values);
         double median = values[values.length / 2];
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/ConfigPropagationCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/ConfigPropagationCost.java
@@ -5,7 +5,7 @@
 import org.tanagerhinge.core.result.TanagerhingeException;
 import org.tanagerhinge.standin.EngineModel;
 
-/** How long an accepted edit takes to be in force everywhere, and what the nodes ask of the platform meanwhile. */
+/** Measures the time until an accepted edit is active on all nodes, and the platform calls of idle nodes. */
 final class ConfigPropagationCost {
     private static final int EDIT_COUNT = 5;
     private static final int IDLE_MILLIS = 4000;
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/ControlTrafficCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/ControlTrafficCost.java
@@ -17,7 +17,7 @@
 import org.tanagerhinge.wire.FrameEncoder;
 import org.tanagerhinge.wire.MalformedFrameException;
 
-/** Control traffic and processor time of an idle node against the number of its peers. */
+/** Measures the control traffic and CPU time of an idle node as a function of the number of its peers. */
 final class ControlTrafficCost {
     private static final int SIMULATED_SECONDS = 20;
     private static final int TICKS_PER_SECOND = 20;
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
@@ -29,8 +29,10 @@
 import org.tanagerhinge.standin.relay.StoreStandin;
 
 /**
- * What log lines cost a gateway: processor time a request with lines about requests, without them, and with a reader that
- * has stopped; the three by turns in one run, since machines are noisy.
+ * Measures the CPU time and latency of a gateway request with request logging, without it, and with a blocked log
+ * reader.
+ *
+ * <p>The three modes alternate within one run, which reduces the effect of other load on the machine.
  */
 public final class LogCost {
     private static final int ROUND_COUNT = 12;
@@ -50,7 +52,7 @@
         READER_STOPPED
     }
 
-    /** A stream that nobody reads until it is closed. */
+    /** Blocks all writes until it is closed. */
     private static final class BlockedStream extends OutputStream {
         private final CountDownLatch closed = new CountDownLatch(1);
 
@@ -74,7 +76,7 @@
         }
     }
 
-    /** Measures and prints. */
+    /** Runs the measurement and prints the results. */
     public static int run() throws IOException {
         new LogCost().measure();
         return 0;
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/ResourceProbe.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/ResourceProbe.java
@@ -5,19 +5,19 @@
 import java.lang.management.ThreadMXBean;
 import java.util.function.Predicate;
 
-/** Reads processor time and heap. */
+/** Reads the CPU time of threads and the heap in use. */
 final class ResourceProbe {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final int GC_RUNS = 4;
 
     private ResourceProbe() {}
 
-    /** Returns the processor time of the calling thread in nanoseconds. */
+    /** Returns the CPU time of the calling thread in nanoseconds. */
     static long ownCpuNanos() {
         return THREADS.getCurrentThreadCpuTime();
     }
 
-    /** Returns the processor time of the threads whose names fit, in nanoseconds. */
+    /** Returns the total CPU time of the threads whose names match, in nanoseconds. */
     static long cpuNanos(Predicate<String> nameFilter) {
         long totalNanos = 0;
         for (long id : THREADS.getAllThreadIds()) {
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/StreamCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/StreamCost.java
@@ -18,7 +18,7 @@
 import org.tanagerhinge.standin.load.Load;
 import org.tanagerhinge.standin.load.LoadClass;
 
-/** Heap of open requests and configuration, and processor time a token with real daemons, by role. */
+/** Measures the heap of open requests and of the configuration, and the CPU time per token of real daemons by role. */
 final class StreamCost {
     private static final int OPEN_REQUESTS = 5000;
     private static final Duration LOAD_DURATION = Duration.ofSeconds(10);
@@ -65,12 +65,12 @@
         ClusterConfig config = CapacityFixture.config(750, workspaces);
         long bytesAfter = ResourceProbe.heapBytes();
         if (config.servers().servers().size() != 750) {
-            throw new IllegalStateException("the configuration is gone");
+            throw new IllegalStateException("the configuration does not have 750 servers");
         }
         return (bytesAfter - bytesBefore) / 1000.0;
     }
 
-    /** Real daemons: 2 routers, 4 engines, a steady load of streams; processor time by the names of threads. */
+    /** Measures CPU time per token of 2 routers and 4 agents under a steady load; threads are assigned by name. */
     private static void measureDaemons(CapacityMeasurement capacity) throws TanagerhingeException {
         HttpClient client = HttpClients.started("load");
         EngineModel engineModel = new EngineModel(8, 0.1, 50, 64, 200_000, 40_000, 40, 0.5, 400);
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/package-info.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/package-info.java
@@ -1,2 +1,2 @@
-/** Measures the slopes by which {@code docs/CAPACITY.md} works out the target size. */
+/** Measurements of cost by system size, from which {@code docs/CAPACITY.md} derives the target size. */
 package org.tanagerhinge.bench.capacity;
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/Experiment.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/Experiment.java
@@ -15,7 +15,7 @@
 import org.tanagerhinge.node.daemon.HttpClients;
 import org.tanagerhinge.standin.load.Load;
 
-/** Runs one scenario once against one kind of system. */
+/** Runs one scenario once against one kind of cluster and measures it. */
 final class Experiment {
     private static final Logger LOG = System.getLogger(Experiment.class.getName());
 
@@ -53,7 +53,7 @@
         try {
             client.stop();
         } catch (Exception e) {
-            LOG.log(Level.DEBUG, "the client did not stop cleanly", e);
+            LOG.log(Level.DEBUG, "HTTP client did not stop cleanly", e);
         }
     }
 
@@ -84,11 +84,11 @@
             Runnable end = inject(cluster, fault);
             faultExecutor.schedule(end, fault.duration().toMillis(), TimeUnit.MILLISECONDS);
         } catch (TanagerhingeException | RuntimeException e) {
-            LOG.log(Level.ERROR, "fault " + fault + " could not be brought about", e);
+            LOG.log(Level.ERROR, "fault " + fault + " could not be injected; the run continues without it", e);
         }
     }
 
-    /** Brings a fault about, and returns what ends it. */
+    /** Injects a fault and returns the action that ends it. */
     private Runnable inject(LocalCluster cluster, Scenario.Fault fault) throws TanagerhingeException {
         return switch (fault.kind()) {
             case SLOW -> {
@@ -137,7 +137,7 @@
         try {
             cluster.startAgent(name, port);
         } catch (TanagerhingeException e) {
-            LOG.log(Level.ERROR, name + " does not start again", e);
+            LOG.log(Level.ERROR, name + " could not be restarted", e);
         }
     }
 
@@ -147,7 +147,7 @@
             cluster.router(
                     name, scenario.domains().get(number % scenario.domains().size()), port);
         } catch (TanagerhingeException e) {
-            LOG.log(Level.ERROR, name + " does not start again", e);
+            LOG.log(Level.ERROR, name + " could not be restarted", e);
         }
     }
 
@@ -155,7 +155,7 @@
         try {
             cluster.setDesiredState(name, DesiredServerState.SERVING);
         } catch (TanagerhingeException e) {
-            LOG.log(Level.ERROR, name + " cannot be marked", e);
+            LOG.log(Level.ERROR, name + " could not be set to serving", e);
         }
     }
 }
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/Measurement.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/Measurement.java
@@ -6,11 +6,11 @@
 import org.tanagerhinge.standin.load.Tally;
 
 /**
- * What one run of a scenario came to.
+ * Describes the results of one run of a scenario.
  *
  * @param tokensComputed tokens that the engines computed
  * @param seconds length of the run
- * @param violations promises that the program itself saw broken
+ * @param violations invariant violations that the nodes detected
  */
 record Measurement(Map<String, Tally> tallies, long tokensComputed, double seconds, long violations) {
     int lost() {
@@ -33,17 +33,17 @@
         return tallies.values().stream().mapToInt(Tally::falselyNotRunCount).sum();
     }
 
-    /** Returns whole answers within their targets, a second. */
+    /** Returns complete answers within their targets, per second. */
     double goodput() {
         return tallies.values().stream().mapToInt(Tally::inTime).sum() / seconds;
     }
 
-    /** Returns tokens of whole answers within their targets, a second. */
+    /** Returns tokens of complete answers within their targets, per second. */
     double goodTokens() {
         return tallies.values().stream().mapToLong(Tally::tokensInTime).sum() / seconds;
     }
 
-    /** Returns the part of the computed tokens that nobody received in a whole answer. */
+    /** Returns the share of the computed tokens that no caller received in a complete answer. */
     double wasted() {
         long received = tallies.values().stream().mapToLong(Tally::tokens).sum();
         return tokensComputed == 0 ? 0 : Math.max(0, 1 - (double) received / tokensComputed);
@@ -56,7 +56,10 @@
         return codes;
     }
 
-    /** Returns whether nothing was lost, mixed up, doubled, falsely reported or seen violated. */
+    /**
+     * Returns whether no answer was lost, mixed up, duplicated or falsely reported as not run, and no invariant
+     * violated.
+     */
     boolean isClean() {
         return lost() == 0 && mixed() == 0 && doubled() == 0 && falselyNotRun() == 0 && violations == 0;
     }
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/ScenarioReader.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/ScenarioReader.java
@@ -24,9 +24,9 @@
 import org.tanagerhinge.standin.load.Caller;
 import org.tanagerhinge.standin.load.LoadClass;
 
-/** Reads scenarios from INI files on the class path; the keys are explained in {@code docs/EXPERIMENTS.md}. */
+/** Reads scenarios from INI files on the class path; the keys are documented in {@code docs/EXPERIMENTS.md}. */
 final class ScenarioReader {
-    /** The scenarios in the order in which they are run. */
+    /** Names of the scenarios in the order in which they run. */
     static final List<String> NAMES =
             List.of("calm", "saturday", "midnight", "straggler", "crash", "domain", "store", "drain", "greedy");
 
@@ -46,7 +46,7 @@
             ini.read(new StringReader(new String(in.readAllBytes(), StandardCharsets.UTF_8)));
             return parseScenario(name, ini);
         } catch (IOException | ConfigurationException e) {
-            throw new IllegalArgumentException("scenario '" + name + "' cannot be read: " + e.getMessage(), e);
+            throw new IllegalArgumentException("scenario '" + name + "' could not be read: " + e.getMessage(), e);
         }
     }
 
@@ -130,7 +130,7 @@
                 readMillis(values, "deadline_millis"));
     }
 
-    /** Reads rates such as {@code 0:10 0.3:80}: ten a second at first, eighty from three tenths of the run on. */
+    /** Parses pairs of start and rate: {@code 0:10 0.3:80} is 10 per second, and 80 per second from start 0.3 on. */
     private static List<LoadClass.Rate> parseRates(String text) {
         List<LoadClass.Rate> rates = new ArrayList<>();
         for (String entry : text.split(" ")) {
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/package-info.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** Experiments: the product and its naive version under the same traffic and faults, in the same run. */
+/** Experiments that compare the product with a naive version under the same traffic and faults. */
 package org.tanagerhinge.bench.experiment;
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/EngineParameters.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/EngineParameters.java
@@ -1,20 +1,21 @@
 package org.tanagerhinge.bench.fleet;
 
 /**
- * What a model engine is like.
+ * Describes the size and the speed of a simulated model engine.
  *
- * @param slots requests that it runs at once
- * @param maxQueuedRequests requests that may wait there
- * @param cacheCapacityTokens tokens that it keeps, those of running requests included
- * @param prefillTokensPerMilli prompt tokens that it reads in a millisecond
- * @param maxPrefillTokensPerStep prompt tokens that it reads in one step at the most
- * @param baseStepMillis time of a step of one request that reads nothing
- * @param stepMillisPerRequest what each running request adds to a step
- * @param millisPerThousandContextTokens what a thousand tokens that running requests have in memory add to a step
- * @param millisPerMillionTokenPairs what a million pairs of a token that is read and one before it in its prompt add to a step
- * @param fetchMicrosPerToken time to fetch what another engine keeps of one token, in microseconds
- * @param fetchSetupMillis time until a fetch begins
- * @param tokensPerEvent tokens in one event of a stream
+ * @param slots maximum number of running requests
+ * @param maxQueuedRequests maximum number of waiting requests
+ * @param cacheCapacityTokens cache size in tokens, including those of running requests
+ * @param prefillTokensPerMilli prefill rate in tokens per millisecond
+ * @param maxPrefillTokensPerStep maximum prefill tokens in one step
+ * @param baseStepMillis time of a step without prefill
+ * @param stepMillisPerRequest time that each running request adds to a step
+ * @param millisPerThousandContextTokens time that a thousand context tokens of running requests add to a step
+ * @param millisPerMillionTokenPairs time that a million pairs of a prefilled token and an earlier token of its
+ *     prompt add to a step
+ * @param fetchMicrosPerToken time to fetch the cache of one token from another engine
+ * @param fetchSetupMillis time until a fetch starts
+ * @param tokensPerEvent tokens per stream event
  */
 public record EngineParameters(
         int slots,
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelCall.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelCall.java
@@ -9,7 +9,7 @@
 import org.tanagerhinge.core.relay.RankGate;
 import org.tanagerhinge.core.relay.WorkspaceConfig;
 
-/** One request of a caller, with its tries. */
+/** Tracks a simulated request of a caller and the state of its latest attempt. */
 final class ModelCall {
     final RequestKind kind;
     final Optional<WorkspaceConfig> workspace;
@@ -21,7 +21,7 @@
     int rejections;
     int sends;
 
-    // The newest try.
+    // State of the latest attempt.
     ModelGateway gateway;
     EngineModel engine;
     PlacementRequest request;
@@ -58,12 +58,12 @@
         this.lastEventAtMillis = nowMillis;
     }
 
-    /** Returns what an answer on time is worth. */
+    /** Returns the credit for an answer on time, weighted by the size of the prompt. */
     double possibleCredit() {
         return kind.onTimeValue() * (0.3 + 0.7 * Math.min(4, relativeSize));
     }
 
-    /** Returns what the answer that was given is worth. */
+    /** Returns the credit for the answer that was delivered, reduced if it was late. */
     double earnedCredit() {
         boolean late = gapExceeded || firstEventAtMillis - requestedAtMillis > kind.firstEventTargetMillis();
         return possibleCredit() * (late ? kind.lateValue() / kind.onTimeValue() : 1);
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
@@ -25,10 +25,10 @@
 import org.tanagerhinge.core.relay.ServerRegistration;
 import org.tanagerhinge.core.relay.ServiceConfig;
 
-/** One gateway: the real decision code, and reports of its peers that are as late as those of a deployed one. */
+/** Simulates a gateway that runs the real placement code and receives delayed reports of its peers. */
 final class ModelGateway {
     private static final int MAX_SENDS = 4;
-    /** Time that a report takes to the other gateways, with what waits before it. */
+    /** Delay of a report to the other gateways, including queueing. */
     private static final double REPORT_DELAY_MILLIS = 2;
 
     private final String name;
@@ -77,7 +77,7 @@
         return instanceById.get(id);
     }
 
-    /** Takes a caller's request, or one that another engine has failed. */
+    /** Places a request on an engine, or rejects it; {@code triedServers} are excluded. */
     void dispatch(ModelCall call, Set<String> triedServers) {
         double nowMillis = fleet.nowMillis();
         if (call.ended) {
@@ -174,7 +174,7 @@
         return scenario.gateways() - 1;
     }
 
-    /** The first event of an answer has come. */
+    /** Records the first event of an answer. */
     void recordFirstEvent(ModelCall call) {
         rankGate.recordSettled(call.pendingRequest);
         ServerInstance server = call.decision.server();
@@ -183,7 +183,7 @@
         placement.recordPrefill(call.request, call.decision, wholeMillis(fleet.nowMillis() - call.sentAtMillis));
     }
 
-    /** A request has left its engine, whichever way. */
+    /** Records that a request has left its engine, whatever its outcome. */
     void settle(ModelCall call, boolean prefillPending) {
         rankGate.recordSettled(call.pendingRequest);
         ServerInstance server = call.decision.server();
@@ -250,7 +250,7 @@
         placement.updatePeerDemands(peerTable.demands(nowMillis));
     }
 
-    /** An engine has lost power. */
+    /** Discards the state of an engine that crashed. */
     void engineLost(String engine) {
         placement.forgetInstance(engine);
     }
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/RequestKind.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/RequestKind.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * A kind of request that the model's callers send.
+ * Describes a kind of request that the simulated callers send.
  *
- * @param rank 0 is the most urgent
- * @param requestsPerSecond mean arrivals of all callers
- * @param sharedParts the shared parts of a prompt, in order
- * @param ownTokens mean size of the part of the request itself
+ * @param rank priority rank; 0 is the most urgent
+ * @param requestsPerSecond mean arrival rate of all callers
+ * @param sharedParts prompt parts shared between requests, in order
+ * @param ownTokens mean size of the part that only this request has
  * @param ownLogDeviation standard deviation of the logarithm of that size
- * @param meanEvents mean events of an answer
- * @param firstEventTargetMillis time to the first event that is on time
- * @param maxGapMillis pause between events that is on time
- * @param timeoutMillis after which a caller leaves
- * @param abandonGapMillis pause without an event after which a caller leaves
- * @param onTimeValue of an answer on time
- * @param lateValue of a late one
- * @param resumable whether a broken stream may go on elsewhere
+ * @param meanEvents mean number of events of an answer
+ * @param firstEventTargetMillis maximum time to the first event of an answer on time
+ * @param maxGapMillis maximum gap between events of an answer on time
+ * @param timeoutMillis time after which a caller disconnects
+ * @param abandonGapMillis gap between events after which a caller disconnects
+ * @param onTimeValue value of an answer on time
+ * @param lateValue value of a late answer
+ * @param resumable whether a failed stream may be resumed by another engine
  */
 public record RequestKind(
         String name,
@@ -35,15 +35,15 @@
         double lateValue,
         boolean resumable) {
     /**
-     * A part that requests share.
+     * Describes a prompt part that is shared between requests.
      *
-     * @param meanTokens its mean size
+     * @param meanTokens mean size in tokens
      * @param logDeviation standard deviation of the logarithm of the size
-     * @param variants how many different ones there are
+     * @param variants number of different parts
      */
     public record SharedPart(int meanTokens, double logDeviation, int variants) {}
 
-    /** Returns the same kind with fewer requests and things, by a factor. */
+    /** Returns this kind with request rate and variants divided by the factor. */
     RequestKind scaledDown(double factor) {
         List<SharedPart> fewer = sharedParts.stream()
                 .map(part -> new SharedPart(
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/package-info.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/package-info.java
@@ -1,6 +1,5 @@
 /**
- * A model of a large fleet, for rounds of policy that take seconds: engines that read prompts in pieces between the tokens
- * of their streams and drop what was used least recently, gateways with the real decision code and reports of each other
- * that are late, callers who leave and come back.
+ * Discrete-event simulation of a large fleet that runs in seconds: engines with chunked prefill and LRU prefix caches,
+ * gateways with the real placement code and delayed peer reports, and callers that disconnect and retry.
  */
 package org.tanagerhinge.bench.fleet;
