--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/CapacityFixture.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/CapacityFixture.java
@@ -165,7 +165,8 @@
         }
         List<Workspace> workspaceList = new ArrayList<>();
         for (int i = 0; i < workspaces; i++) {
-            workspaceList.add(new Workspace(WorkspaceId.of("workspace-" + i), List.of(KeyDigest.sha256Hex(apiKey(i))), 1));
+            workspaceList.add(
+                    new Workspace(WorkspaceId.of("workspace-" + i), List.of(KeyDigest.sha256Hex(apiKey(i))), 1));
         }
         Profile chat = new Profile(
                 ProfileName.of("chat"),
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/ConfigPropagationCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/ConfigPropagationCost.java
@@ -23,8 +23,13 @@
                     cluster.router("router-" + i, "domain-" + i % 3);
                 }
                 cluster.awaitReady();
-                capacity.record("accepted edit in force on all nodes, nodes", 2L * routers, "ms", propagationMillis(cluster));
-                capacity.record("calls to the platform while idle, nodes", 2L * routers, "calls/s", idleCallsPerSecond(cluster));
+                capacity.record(
+                        "accepted edit in force on all nodes, nodes", 2L * routers, "ms", propagationMillis(cluster));
+                capacity.record(
+                        "calls to the platform while idle, nodes",
+                        2L * routers,
+                        "calls/s",
+                        idleCallsPerSecond(cluster));
             }
         }
     }
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/ControlTrafficCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/ControlTrafficCost.java
@@ -37,9 +37,10 @@
         for (int peers : new int[] {200, 750}) {
             NodeCost subset = routerCost(peers, 24);
             capacity.record("router control traffic, 24 agents linked of", peers, "KB/s", subset.kilobytesPerSecond);
-            capacity.measureAndRecord("router control processor time, 24 agents linked of", peers, "% of a core", () -> {
-                return routerCost(peers, 24).cpuPercent;
-            });
+            capacity.measureAndRecord(
+                    "router control processor time, 24 agents linked of", peers, "% of a core", () -> {
+                        return routerCost(peers, 24).cpuPercent;
+                    });
         }
         for (int routers : new int[] {10, 50, 200, 410}) {
             NodeCost agent = agentCost(routers);
@@ -70,7 +71,8 @@
         int linkedAgents = core.linkedAgents();
         byte[] heartbeat = FrameEncoder.encode(new Frame.Heartbeat(ConfigRevision.of(1, 1)))
                 .toByteArray();
-        byte[] load = FrameEncoder.encode(new Frame.LoadReport(CapacityFixture.agentLoad())).toByteArray();
+        byte[] load = FrameEncoder.encode(new Frame.LoadReport(CapacityFixture.agentLoad()))
+                .toByteArray();
         long receivedBytes = 0;
         port.bytes = 0;
         long cpuNanos = ResourceProbe.ownCpuNanos();
@@ -87,14 +89,15 @@
             }
         }
         cpuNanos = ResourceProbe.ownCpuNanos() - cpuNanos;
-        return new NodeCost((receivedBytes + port.bytes) / 1000.0 / SIMULATED_SECONDS, cpuNanos / 1e9 / SIMULATED_SECONDS * 100);
+        return new NodeCost(
+                (receivedBytes + port.bytes) / 1000.0 / SIMULATED_SECONDS, cpuNanos / 1e9 / SIMULATED_SECONDS * 100);
     }
 
     private static NodeCost agentCost(int routers) {
         CapacityFixture.ManualClock clock = new CapacityFixture.ManualClock();
         CapacityFixture.CountingAgentPort port = new CapacityFixture.CountingAgentPort();
-        AgentCore core =
-                AgentCore.create(CapacityFixture.serverId(0), 1, AgentOptions.defaults(), clock, port, InvariantMonitor.strict());
+        AgentCore core = AgentCore.create(
+                CapacityFixture.serverId(0), 1, AgentOptions.defaults(), clock, port, InvariantMonitor.strict());
         core.applyConfig(CapacityFixture.config(750, 10));
         for (int i = 0; i < routers; i++) {
             core.onRouterConnected(RouterId.of("router-" + i, i));
@@ -115,7 +118,8 @@
             }
         }
         cpuNanos = ResourceProbe.ownCpuNanos() - cpuNanos;
-        return new NodeCost((receivedBytes + port.bytes) / 1000.0 / SIMULATED_SECONDS, cpuNanos / 1e9 / SIMULATED_SECONDS * 100);
+        return new NodeCost(
+                (receivedBytes + port.bytes) / 1000.0 / SIMULATED_SECONDS, cpuNanos / 1e9 / SIMULATED_SECONDS * 100);
     }
 
     private static Frame decode(byte[] encoded) {
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/DecisionCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/DecisionCost.java
@@ -31,7 +31,10 @@
     static void measure(CapacityMeasurement capacity) {
         for (int queueLength : new int[] {10, 100, 1000}) {
             capacity.measureAndRecord(
-                    "agent, one request queued and dispatched, queue length", queueLength, "us", () -> agentMicrosPerRequest(queueLength, 10));
+                    "agent, one request queued and dispatched, queue length",
+                    queueLength,
+                    "us",
+                    () -> agentMicrosPerRequest(queueLength, 10));
         }
         for (int workspaces : new int[] {10, 1000, 8300}) {
             capacity.measureAndRecord("agent, one request queued and dispatched, workspaces", workspaces, "us", () -> {
@@ -39,12 +42,18 @@
             });
         }
         for (int servers : new int[] {10, 24, 200, 750}) {
-            capacity.measureAndRecord("router, one request chosen, sent and ended, servers linked", servers, "us", () -> {
-                return routerMicrosPerRequest(servers, 10);
-            });
+            capacity.measureAndRecord(
+                    "router, one request chosen, sent and ended, servers linked", servers, "us", () -> {
+                        return routerMicrosPerRequest(servers, 10);
+                    });
         }
-        capacity.measureAndRecord("router, one request chosen, sent and ended, workspaces", 8300, "us", () -> routerMicrosPerRequest(24, 8300));
-        capacity.measureAndRecord("router, one token passed on", TOKENS_PER_REQUEST, "us", DecisionCost::routerMicrosPerToken);
+        capacity.measureAndRecord(
+                "router, one request chosen, sent and ended, workspaces",
+                8300,
+                "us",
+                () -> routerMicrosPerRequest(24, 8300));
+        capacity.measureAndRecord(
+                "router, one token passed on", TOKENS_PER_REQUEST, "us", DecisionCost::routerMicrosPerToken);
     }
 
     private static Frame.Submit submit(long attempt, int workspace) {
@@ -130,7 +139,8 @@
         for (int token = 0; token < TOKENS_PER_REQUEST; token++) {
             for (int i = 0; i < requests; i++) {
                 core.onFrame(
-                        CapacityFixture.serverId(0), new Frame.Chunk(port.submits.get(i).attempt(), token, 1, data));
+                        CapacityFixture.serverId(0),
+                        new Frame.Chunk(port.submits.get(i).attempt(), token, 1, data));
             }
         }
         return (ResourceProbe.ownCpuNanos() - cpuBeforeNanos) / 1e3 / requests / TOKENS_PER_REQUEST;
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
@@ -128,11 +128,15 @@
                 long startNanos = System.nanoTime();
                 send(port, "attempt-" + i);
                 if (recorded) {
-                    latencyMillis.computeIfAbsent(mode, key -> new ArrayList<>()).add((System.nanoTime() - startNanos) / 1e6);
+                    latencyMillis
+                            .computeIfAbsent(mode, key -> new ArrayList<>())
+                            .add((System.nanoTime() - startNanos) / 1e6);
                 }
             }
             if (recorded) {
-                cpuMicros.computeIfAbsent(mode, key -> new ArrayList<>()).add((cpuNanos() - cpuBeforeNanos) / 1e3 / REQUESTS_PER_ROUND);
+                cpuMicros
+                        .computeIfAbsent(mode, key -> new ArrayList<>())
+                        .add((cpuNanos() - cpuBeforeNanos) / 1e3 / REQUESTS_PER_ROUND);
             }
             blocked.close();
             copy.close();
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/StreamCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/StreamCost.java
@@ -26,7 +26,8 @@
     private StreamCost() {}
 
     static void measure(CapacityMeasurement capacity) throws TanagerhingeException {
-        capacity.measureAndRecord("router heap of an open request, 2 KB body", OPEN_REQUESTS, "KB", StreamCost::heapKilobytesPerRequest);
+        capacity.measureAndRecord(
+                "router heap of an open request, 2 KB body", OPEN_REQUESTS, "KB", StreamCost::heapKilobytesPerRequest);
         for (int workspaces : new int[] {10, 8300}) {
             capacity.measureAndRecord("heap of the configuration, 750 servers, workspaces", workspaces, "KB", () -> {
                 return configHeapKilobytes(workspaces);
@@ -89,7 +90,10 @@
             runLoad(client, cluster, 3);
             double tokens = cluster.tokens() - tokensBefore;
             capacity.record(
-                    "tokens a second carried by 2 routers and 4 agents", 6, "tokens/s", tokens / LOAD_DURATION.toSeconds());
+                    "tokens a second carried by 2 routers and 4 agents",
+                    6,
+                    "tokens/s",
+                    tokens / LOAD_DURATION.toSeconds());
             capacity.record(
                     "router processor time a token, relay and HTTP included",
                     2,
--- a/harness/src/main/java/org/tanagerhinge/bench/cluster/LocalCluster.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/cluster/LocalCluster.java
@@ -88,7 +88,8 @@
                 : document.profiles().stream().map(LocalCluster::toNaiveProfile).toList();
         store.editProfiles(
                 baseRevision,
-                current -> new ProfilesDocument(current.revision(), current.changeIds(), effective, document.workspaces()));
+                current -> new ProfilesDocument(
+                        current.revision(), current.changeIds(), effective, document.workspaces()));
         return this;
     }
 
@@ -119,7 +120,8 @@
     }
 
     /** Adds a plain service and its agent. */
-    public LocalCluster service(String name, String domain, int concurrency, long callMillis) throws TanagerhingeException {
+    public LocalCluster service(String name, String domain, int concurrency, long callMillis)
+            throws TanagerhingeException {
         ServiceStandin service = ServiceStandin.start(0, concurrency, callMillis);
         services.put(name, service);
         startAgent(name, 0);
@@ -127,7 +129,8 @@
         return this;
     }
 
-    private void registerServer(String name, String domain, ServerKind serverKind, String target) throws TanagerhingeException {
+    private void registerServer(String name, String domain, ServerKind serverKind, String target)
+            throws TanagerhingeException {
         BackendServer server = new BackendServer(
                 ServerId.of(name),
                 "127.0.0.1:" + agents.get(name).port(),
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
@@ -305,7 +305,8 @@
                 }
             });
             simulation.schedule(
-                    CALL_TIMEOUT_MILLIS, () -> settle.accept(new CallOutcome.Unknown<>("no response within the timeout")));
+                    CALL_TIMEOUT_MILLIS,
+                    () -> settle.accept(new CallOutcome.Unknown<>("no response within the timeout")));
             return settle;
         }
 
@@ -414,7 +415,8 @@
         public void reportUsage(long fencingToken, UsageCounts counts, Consumer<CallOutcome<ReportResult>> callback) {
             long sentToken = simulation.bug == DeliberateBug.NO_FENCE ? 1 : fencingToken;
             if (!simulation.store.holdsDuty(fencingToken)) {
-                simulation.recordFailure(name + " sends a report with token " + fencingToken + " after its lease has expired");
+                simulation.recordFailure(
+                        name + " sends a report with token " + fencingToken + " after its lease has expired");
             }
             Consumer<CallOutcome<ReportResult>> settle = firstOutcomeOrTimeout(callback);
             UsageEndpointModel endpoint = simulation.usageEndpoint;
@@ -451,7 +453,8 @@
 
         @Override
         public void usageCommitted(long fencingToken, UsageCounts counts, int completeNodes, int knownNodes) {
-            simulation.logEvent(name + " committed " + counts + ", complete reports from " + completeNodes + " of " + knownNodes);
+            simulation.logEvent(
+                    name + " committed " + counts + ", complete reports from " + completeNodes + " of " + knownNodes);
         }
 
         @Override
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/UsageEndpointModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/UsageEndpointModel.java
@@ -45,14 +45,16 @@
         UsageCounts previous = acceptedByWindow.putIfAbsent(counts.window(), counts);
         acceptedAtMillisByWindow.putIfAbsent(counts.window(), simulation.epochMillis());
         if (previous != null && !previous.equals(counts)) {
-            simulation.recordFailure("different counts for window " + counts.window() + ": " + previous + " and " + counts);
+            simulation.recordFailure(
+                    "different counts for window " + counts.window() + ": " + previous + " and " + counts);
         }
         return DutyClient.ReportResult.ACCEPTED;
     }
 
     private DutyClient.ReportResult rejectStaleToken(String node, long token) {
         if (!simulation.fenced) {
-            simulation.recordFailure("fencing token " + token + " of " + node + " arrived after newer token " + highestToken);
+            simulation.recordFailure(
+                    "fencing token " + token + " of " + node + " arrived after newer token " + highestToken);
         }
         rejectedReports++;
         Long firstMillis = firstRejectedMillis.putIfAbsent(node + "/" + token, simulation.nowMillis());
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/BenchMain.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/BenchMain.java
@@ -104,7 +104,8 @@
     }
 
     private int runScenarios(List<String> scenarioNames) throws TanagerhingeException, IOException {
-        List<Scenario> scenarios = scenarioNames.stream().map(ScenarioReader::read).toList();
+        List<Scenario> scenarios =
+                scenarioNames.stream().map(ScenarioReader::read).toList();
         warmUp(scenarios.get(0));
         ArrayNode json = JSON.createArrayNode();
         boolean clean = true;
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/Experiment.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/Experiment.java
@@ -41,7 +41,8 @@
                 scenario.faults().forEach(fault -> schedule(faultExecutor, cluster, fault));
                 load.run(duration);
                 load.audit(cluster.runs());
-                return new Measurement(load.tallies(), cluster.tokens(), duration.toNanos() / 1e9, cluster.violations());
+                return new Measurement(
+                        load.tallies(), cluster.tokens(), duration.toNanos() / 1e9, cluster.violations());
             }
         } finally {
             faultExecutor.shutdownNow();
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/EngineModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/EngineModel.java
@@ -125,7 +125,8 @@
                 startPrefill(call);
             }
             int remainingTokens = call.tokensToPrefill - call.prefilledTokens;
-            contextTokens += call.prefillStarted ? call.prompt.inputTokens() - remainingTokens + call.generatedTokens : 0;
+            contextTokens +=
+                    call.prefillStarted ? call.prompt.inputTokens() - remainingTokens + call.generatedTokens : 0;
             if (call.prefillStarted && remainingTokens <= 0) {
                 generating.add(call);
             } else if (call.prefillStarted && budgetTokens > 0) {
@@ -240,7 +241,8 @@
         }
         double nowMillis = fleet.nowMillis();
         if (call.fetchedAtMillis < 0) {
-            EngineModel source = fleet.engine(call.decision.fetch().get().source().id());
+            EngineModel source =
+                    fleet.engine(call.decision.fetch().get().source().id());
             int tokens = 0;
             for (PromptPart part : call.prompt.parts()) {
                 if (!source.hasCached(part.id())) {
@@ -258,8 +260,9 @@
                 call.fetchedAtMillis = nowMillis;
                 return true;
             }
-            source.linkFreeAtMillis =
-                    Math.max(source.linkFreeAtMillis, nowMillis) + parameters.fetchSetupMillis() + tokens * parameters.fetchMicrosPerToken() / 1000;
+            source.linkFreeAtMillis = Math.max(source.linkFreeAtMillis, nowMillis)
+                    + parameters.fetchSetupMillis()
+                    + tokens * parameters.fetchMicrosPerToken() / 1000;
             call.fetchedAtMillis = source.linkFreeAtMillis;
             fleet.fetchedTokens += tokens;
             int currentInstance = instanceNumber;
@@ -295,7 +298,8 @@
                 if (previousTokens == 0 && shared) {
                     fleet.recordSharedUse(part);
                 }
-            } else if (endTokens > cachedPromptTokens + previousTokens && endTokens <= cachedPromptTokens + call.prefilledTokens) {
+            } else if (endTokens > cachedPromptTokens + previousTokens
+                    && endTokens <= cachedPromptTokens + call.prefilledTokens) {
                 if (shared) {
                     fleet.recordSharedPrefill(part, this, call);
                 }
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetExperiment.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetExperiment.java
@@ -32,7 +32,8 @@
      * @param ablation whether to repeat the runs with each mechanism disabled in turn
      */
     public static int run(long seed, int repeats, boolean ablation) {
-        for (FleetScenario scenario : List.of(FleetScenario.manySlots(), FleetScenario.fewSlots(), FleetScenario.ownParts())) {
+        for (FleetScenario scenario :
+                List.of(FleetScenario.manySlots(), FleetScenario.fewSlots(), FleetScenario.ownParts())) {
             printResult(scenario, seed, repeats, Set.of());
             if (ablation) {
                 for (Mechanism mechanism : SIMULATED_MECHANISMS) {
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetModel.java
@@ -182,7 +182,9 @@
     private void scheduleArrivals(RequestKind kind) {
         double ratePerSecond = kind.requestsPerSecond();
         for (FleetScenario.Burst burst : scenario.bursts()) {
-            if (burst.kind().equals(kind.name()) && nowMillis >= burst.fromSeconds() * 1000 && nowMillis < burst.toSeconds() * 1000) {
+            if (burst.kind().equals(kind.name())
+                    && nowMillis >= burst.fromSeconds() * 1000
+                    && nowMillis < burst.toSeconds() * 1000) {
                 ratePerSecond *= burst.factor();
             }
         }
@@ -216,7 +218,8 @@
                         .mapToInt(RequestKind.SharedPart::meanTokens)
                         .sum();
         Prompt prompt = Prompt.of(inputTokens, outputTokens, parts);
-        ModelCall call = new ModelCall(kind, drawWorkspace(), prompt, outputTokens, nowMillis, inputTokens / (double) meanInputTokens);
+        ModelCall call = new ModelCall(
+                kind, drawWorkspace(), prompt, outputTokens, nowMillis, inputTokens / (double) meanInputTokens);
         result.recordRequest(call);
         scheduleAt(call.deadlineMillis, () -> disconnect(call));
         watchForGap(call);
@@ -263,7 +266,9 @@
         }
         double waitMillis = Math.min(retryAfterMillis, (call.deadlineMillis - nowMillis) / 3);
         call.lastEventAtMillis = nowMillis + waitMillis;
-        scheduleAt(nowMillis + waitMillis, () -> gateways.get(random.nextInt(gateways.size())).dispatch(call, Set.of()));
+        scheduleAt(
+                nowMillis + waitMillis,
+                () -> gateways.get(random.nextInt(gateways.size())).dispatch(call, Set.of()));
     }
 
     // ---- engines
@@ -315,7 +320,8 @@
         } else if (nowMillis - previousUseMillis < REUSE_WINDOW_MILLIS) {
             boolean expectedCached =
                     call.decision.tokensToPrefill() <= call.prompt.inputTokens() - call.prompt.sharedTokens() + 1;
-            boolean cachedElsewhere = engines.values().stream().anyMatch(engine -> engine != prefillEngine && engine.hasCached(part.id()));
+            boolean cachedElsewhere = engines.values().stream()
+                    .anyMatch(engine -> engine != prefillEngine && engine.hasCached(part.id()));
             result.repeatedPrefill(part.tokens(), expectedCached, cachedElsewhere);
         }
     }
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetResult.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetResult.java
@@ -162,8 +162,13 @@
 
     /** Returns the earned share of the possible credit of all requests. */
     public double credit() {
-        double possibleCredit = tallyByKind.values().stream().mapToDouble(tally -> tally.possibleCredit).sum();
-        return tallyByKind.values().stream().mapToDouble(tally -> tally.earnedCredit).sum() / possibleCredit;
+        double possibleCredit = tallyByKind.values().stream()
+                .mapToDouble(tally -> tally.possibleCredit)
+                .sum();
+        return tallyByKind.values().stream()
+                        .mapToDouble(tally -> tally.earnedCredit)
+                        .sum()
+                / possibleCredit;
     }
 
     /** Returns the earned share of the possible credit of requests sent in the given second. */
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetScenario.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/FleetScenario.java
@@ -53,23 +53,43 @@
         int nodes = (int) Math.max(2, Math.round(gateways / factor));
         int servers = (int) Math.max(2, Math.round(engines / factor));
         return new FleetScenario(
-                name, nodes, servers, engine, fewer, bursts, outages, newDurationSeconds, preferredShare, preemptsForSlots);
+                name,
+                nodes,
+                servers,
+                engine,
+                fewer,
+                bursts,
+                outages,
+                newDurationSeconds,
+                preferredShare,
+                preemptsForSlots);
     }
 
     /** Returns this scenario with other bursts and outages. */
     public FleetScenario withDisturbances(List<Burst> newBursts, List<Outage> newOutages) {
         return new FleetScenario(
-                name, gateways, engines, engine, kinds, newBursts, newOutages, durationSeconds, preferredShare, preemptsForSlots);
+                name,
+                gateways,
+                engines,
+                engine,
+                kinds,
+                newBursts,
+                newOutages,
+                durationSeconds,
+                preferredShare,
+                preemptsForSlots);
     }
 
     /** Returns this scenario with a share of the requests from a workspace of a more urgent rank. */
     public FleetScenario withPreferredShare(double share) {
-        return new FleetScenario(name, gateways, engines, engine, kinds, bursts, outages, durationSeconds, share, preemptsForSlots);
+        return new FleetScenario(
+                name, gateways, engines, engine, kinds, bursts, outages, durationSeconds, share, preemptsForSlots);
     }
 
     /** Returns this scenario with engines that preempt if a more urgent request finds no free slot. */
     public FleetScenario withSlotPreemption() {
-        return new FleetScenario(name, gateways, engines, engine, kinds, bursts, outages, durationSeconds, preferredShare, true);
+        return new FleetScenario(
+                name, gateways, engines, engine, kinds, bursts, outages, durationSeconds, preferredShare, true);
     }
 
     /**
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
@@ -53,13 +53,15 @@
         this.fleet = fleet;
         this.scenario = scenario;
         EngineParameters engine = scenario.engine();
-        this.service =
-                new ServiceConfig("model", 300, engine.slots(), engine.cacheCapacityTokens(), 1, 8_000 / engine.fetchMicrosPerToken());
+        this.service = new ServiceConfig(
+                "model", 300, engine.slots(), engine.cacheCapacityTokens(), 1, 8_000 / engine.fetchMicrosPerToken());
         this.disabledMechanisms = disabledMechanisms;
         this.placement = PromptAwarePlacement.without(disabledMechanisms);
         this.peerTable = PeerTable.of(name);
-        placement.updateMinEventGap(
-                scenario.kinds().stream().mapToLong(RequestKind::maxGapMillis).min().orElse(120));
+        placement.updateMinEventGap(scenario.kinds().stream()
+                .mapToLong(RequestKind::maxGapMillis)
+                .min()
+                .orElse(120));
         for (int i = 0; i < scenario.engines(); i++) {
             String id = FleetModel.engineId(i);
             instanceById.put(
@@ -123,8 +125,8 @@
         call.sequence = fleet.nextSequence();
         chosen.recordSent(decision.get().tokensToPrefill());
         placement.recordSent(request, decision.get(), wholeMillis(nowMillis));
-        call.pendingRequest =
-                RankGate.PendingRequest.of(chosen.instanceId(), rank(call), wholeMillis(nowMillis) + call.kind.firstEventTargetMillis());
+        call.pendingRequest = RankGate.PendingRequest.of(
+                chosen.instanceId(), rank(call), wholeMillis(nowMillis) + call.kind.firstEventTargetMillis());
         rankGate.recordSent(call.pendingRequest);
         recordSentPrompt(chosen, call);
         EngineModel engine = fleet.engine(chosen.id());
@@ -212,7 +214,17 @@
         }
         long intervalMillis = ReportSchedule.idleIntervalMillis(peerCount());
         PeerReport report = new PeerReport(
-                name, 1, ++reportCount, name, true, 1, 0, 0, intervalMillis, loads, placement.localDemands(wholeMillis(fleet.nowMillis())));
+                name,
+                1,
+                ++reportCount,
+                name,
+                true,
+                1,
+                0,
+                0,
+                intervalMillis,
+                loads,
+                placement.localDemands(wholeMillis(fleet.nowMillis())));
         List<CachedPrompt> prompts = List.copyOf(cachedPrompts);
         cachedPrompts.clear();
         tokensSinceReport = 0;
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/RequestKind.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/RequestKind.java
@@ -46,8 +46,8 @@
     /** Returns this kind with request rate and variants divided by the factor. */
     RequestKind scaledDown(double factor) {
         List<SharedPart> fewer = sharedParts.stream()
-                .map(part -> new SharedPart(
-                        part.meanTokens(), part.logDeviation(), (int) Math.max(1, Math.round(part.variants() / factor))))
+                .map(part -> new SharedPart(part.meanTokens(), part.logDeviation(), (int)
+                        Math.max(1, Math.round(part.variants() / factor))))
                 .toList();
         return new RequestKind(
                 name,
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimRouter.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimRouter.java
@@ -99,8 +99,7 @@
                 awaitDrained(expectedStart);
                 return;
             }
-            sim.checks.check(
-                    Invariant.GRACEFUL_STOP, calls.isEmpty(), () -> name + " stops with open calls: " + calls);
+            sim.checks.check(Invariant.GRACEFUL_STOP, calls.isEmpty(), () -> name + " stops with open calls: " + calls);
             crash();
             sim.scheduler.after(Duration.ofMillis(500), this::start);
         });
--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimStore.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimStore.java
@@ -100,7 +100,8 @@
                 Duration delay = sim.chance(0.5) ? callLatency : Duration.ofMillis(500 + sim.random.nextInt(4000));
                 sim.scheduler.after(delay, () -> claims.claim(requested, expectedGeneration));
             }
-            sim.scheduler.after(Duration.ofSeconds(1), () -> callback.accept(new ClaimDecision.Unsettled("no response")));
+            sim.scheduler.after(
+                    Duration.ofSeconds(1), () -> callback.accept(new ClaimDecision.Unsettled("no response")));
             return;
         }
         sim.scheduler.after(callLatency.dividedBy(2), () -> {
--- a/harness/src/test/java/org/tanagerhinge/bench/duty/DutySoakTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/duty/DutySoakTest.java
@@ -69,13 +69,13 @@
         return Stream.of(
                 singleFault("holder killed", 1, script -> script.killHolder(31_000, 1_500)),
                 singleFault("holder suspended", 1, script -> script.suspendHolder(31_000, 6_000)),
-                singleFault(
-                        "holder rejected by the store", 0, script -> script.isolateHolderFromStore(31_000, 9_000)),
+                singleFault("holder rejected by the store", 0, script -> script.isolateHolderFromStore(31_000, 9_000)),
                 singleFault(
                         "holder isolated from the platform",
                         0,
                         script -> script.isolateHolderFromPlatform(31_000, 4_000)),
-                singleFault("two clocks of six stepped forward", 0, script -> script.stepClocks(31_000, 8_000, 2, 2_000)),
+                singleFault(
+                        "two clocks of six stepped forward", 0, script -> script.stepClocks(31_000, 8_000, 2, 2_000)),
                 singleFault("two clocks of six stepped back", 0, script -> script.stepClocks(31_000, 8_000, 2, -2_000)),
                 singleFault("store down, leases expire", 0, script -> script.storeDown(31_000, 4_000, false)),
                 singleFault("store down, leases pause", 0, script -> script.storeDown(31_000, 4_000, true)),
--- a/harness/src/test/java/org/tanagerhinge/bench/fleet/FleetModelTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/fleet/FleetModelTest.java
@@ -50,10 +50,14 @@
         FleetResult with = FleetModel.simulate(scenario, seed, Set.of());
         FleetResult without = FleetModel.simulate(scenario, seed, Set.of(Mechanism.ADMISSION));
         for (String kind : List.of("draft", "quote")) {
-            assertTrue(onTime(with, kind) > onTime(without, kind) + 0.05, kind + "\n" + with.summary() + without.summary());
+            assertTrue(
+                    onTime(with, kind) > onTime(without, kind) + 0.05,
+                    kind + "\n" + with.summary() + without.summary());
         }
         assertTrue(onTime(with, "summary") > onTime(without, "summary") - 0.05, with.summary() + without.summary());
-        assertTrue(with.kind("draft").abandoned() * 10 < without.kind("draft").abandoned() + 10, with.summary() + without.summary());
+        assertTrue(
+                with.kind("draft").abandoned() * 10 < without.kind("draft").abandoned() + 10,
+                with.summary() + without.summary());
         assertTrue(served(with, "draft") * 2 > with.kind("draft").requests(), with.summary());
         assertTrue(served(with, "summary") * 100 > 95 * with.kind("summary").requests(), with.summary());
     }
@@ -62,7 +66,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void creditRecoversAfterLossOfAQuarterOfTheEngines(long seed) {
-        FleetScenario scenario = SCENARIO.withDisturbances(List.of(DRAFTS), List.of(new FleetScenario.Outage(0.25, 5, 7)));
+        FleetScenario scenario =
+                SCENARIO.withDisturbances(List.of(DRAFTS), List.of(new FleetScenario.Outage(0.25, 5, 7)));
         FleetResult result = FleetModel.simulate(scenario, seed, Set.of());
         double after = meanCredit(result, 11);
         assertTrue(after > 0.85, after + "\n" + result.summary());
