--- a/agent/src/main/java/org/tanagerhinge/agent/AgentComponent.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/AgentComponent.java
@@ -3,7 +3,7 @@
 import dagger.Component;
 import jakarta.inject.Singleton;
 
-/** The graph of an agent's parts. */
+/** Dependency graph of the agent daemon. */
 @Singleton
 @Component(modules = AgentModule.class)
 interface AgentComponent {
--- a/agent/src/main/java/org/tanagerhinge/agent/AgentDaemon.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/AgentDaemon.java
@@ -42,13 +42,13 @@
 import org.tanagerhinge.wire.Peer;
 import org.tanagerhinge.wire.SharedSecret;
 
-/** Joins the agent's decisions to the network, the backend server and the platform. */
+/** The agent process: connects {@link AgentCore} to routers, the backend server and the platform's store. */
 public final class AgentDaemon implements Daemon {
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
     private static final Duration DISCONNECTED_POLL_INTERVAL = Duration.ofSeconds(1);
     private static final int NETWORK_THREADS = 2;
 
-    /** What an agent is started with. */
+    /** Addresses, limits and clients with which an agent starts. */
     public record Parts(
             ServerId name,
             InetSocketAddress listen,
@@ -85,7 +85,7 @@
                 parts.name(), Incarnation.next(), parts.options(), SteadyClock.create(), new Port(), metrics);
     }
 
-    /** Starts an agent; it takes work as soon as routers connect. */
+    /** Starts an agent; it accepts requests as soon as routers connect. */
     public static AgentDaemon start(Parts parts) throws TanagerhingeException {
         AgentDaemon daemon = new AgentDaemon(parts);
         try {
@@ -156,7 +156,7 @@
         return ready ? Page.text(200, "ready\n") : Page.text(503, "no configuration has been read yet\n");
     }
 
-    /** Returns the configuration that the agent works by. */
+    /** Returns the revision of the active configuration. */
     public ConfigRevision revision() {
         return control.ask(core::configRevision);
     }
@@ -210,7 +210,7 @@
         control.close();
     }
 
-    /** Carries out what the decisions ask for; called on the control thread. */
+    /** Performs the I/O that the core requests; called on the control thread. */
     private final class Port implements AgentPort {
         @Override
         public void send(RouterId router, Frame.FromAgent frame) {
@@ -254,7 +254,7 @@
         }
     }
 
-    /** Hands the backend server's events to the control thread. */
+    /** Posts events of the backend server to the control thread. */
     private final class BackendEventForwarder implements BackendListener {
         @Override
         public void onHead(long runId, int status, String contentType) {
@@ -277,7 +277,7 @@
         }
     }
 
-    /** Hands the events of connections to the control thread. */
+    /** Posts events of links to the control thread. */
     private final class LinkEventForwarder implements LinkListener {
         @Override
         public void onUp(Link link) {
--- a/agent/src/main/java/org/tanagerhinge/agent/AgentMain.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/AgentMain.java
@@ -10,10 +10,10 @@
 import org.tanagerhinge.node.settings.Setting;
 import org.tanagerhinge.node.settings.Settings;
 
-/** Runs an agent until it is asked to stop. */
+/** Command line of the agent: runs the daemon until the process receives a stop signal. */
 @Command(name = "tanagerhinge-agent", description = "Runs the agent of one backend server")
 public final class AgentMain extends DaemonCommand {
-    /** Starts the program. */
+    /** Parses the command line and runs the agent. */
     public static void main(String[] args) {
         try {
             SingleCommand<AgentMain> parser = SingleCommand.singleCommand(AgentMain.class);
--- a/agent/src/main/java/org/tanagerhinge/agent/AgentModule.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/AgentModule.java
@@ -9,7 +9,7 @@
 import org.tanagerhinge.node.platform.PlatformStore;
 import org.tanagerhinge.node.settings.Settings;
 
-/** Makes an agent's parts from its settings. */
+/** Provides the agent's dependencies from its settings. */
 @Module
 final class AgentModule {
     private final Settings settings;
--- a/agent/src/main/java/org/tanagerhinge/agent/AgentSettings.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/AgentSettings.java
@@ -10,7 +10,7 @@
 import org.tanagerhinge.node.settings.Settings;
 import org.tanagerhinge.wire.SharedSecret;
 
-/** The settings that an agent takes from its INI file. */
+/** Settings of the agent's INI file. */
 public final class AgentSettings {
     static final Setting<ServerId> NAME =
             Setting.id("agent", "name", ServerId::of, "the backend server's id in the servers document");
@@ -19,17 +19,20 @@
     static final Setting<InetSocketAddress> METRICS_ADDRESS =
             Setting.address("agent", "metrics", null, "where /metrics, /healthz and /readyz are served");
     static final Setting<Duration> STOP_TIMEOUT =
-            Setting.duration("agent", "stop_timeout", "10m", "how long a planned stop may take");
+            Setting.duration("agent", "stop_timeout", "10m", "maximum time of a graceful stop");
     static final Setting<String> BACKEND_URL =
             Setting.text("backend", "url", null, "base URL of the backend server, for example http://127.0.0.1:8000");
     static final Setting<String> PROBE_PATH =
-            Setting.text("backend", "probe", "/health", "path that answers while the backend server is alive");
+            Setting.text("backend", "probe", "/health", "path of the backend server's health check");
     static final Setting<String> PLATFORM_URL =
             Setting.text("platform", "url", null, "base URL of the platform's key-value service");
     static final Setting<Duration> PLATFORM_TIMEOUT =
-            Setting.duration("platform", "timeout", "2s", "how long one call to the platform may take");
+            Setting.duration("platform", "timeout", "2s", "timeout of a call to the platform");
     static final Setting<Duration> PLATFORM_POLL_INTERVAL = Setting.duration(
-            "platform", "poll", "1m", "how often the platform is read while routers are linked; 1s while none is");
+            "platform",
+            "poll",
+            "1m",
+            "polling interval of the configuration while a router is connected; 1s while none is");
     static final Setting<SharedSecret> SECRET = new Setting<>(
             "security",
             "shared_secret",
@@ -38,19 +41,19 @@
             java.util.Optional.empty(),
             "the secret that routers and agents share");
     static final Setting<Integer> MAX_QUEUED_REQUESTS =
-            Setting.whole("limits", "queue_bound", 1, 1_000_000, 1024, "requests queued in all");
+            Setting.whole("limits", "queue_bound", 1, 1_000_000, 1024, "maximum number of queued requests");
     static final Setting<Integer> MAX_QUEUED_MEGABYTES =
-            Setting.whole("limits", "queue_megabytes", 1, 4096, 64, "request bodies queued in all");
+            Setting.whole("limits", "queue_megabytes", 1, 4096, 64, "maximum size of all queued request bodies");
     static final Setting<Integer> INITIAL_CONCURRENCY =
-            Setting.whole("limits", "concurrency_start", 1, 4096, 8, "concurrency limit before anything is measured");
+            Setting.whole("limits", "concurrency_start", 1, 4096, 8, "initial concurrency limit");
     static final Setting<Integer> MAX_CONCURRENCY =
-            Setting.whole("limits", "concurrency_most", 1, 4096, 512, "greatest concurrency limit");
-    static final Setting<Duration> PEER_IDLE_TIMEOUT =
-            Setting.duration("links", "idle", "3s", "how long a router may be silent before it is taken for lost");
+            Setting.whole("limits", "concurrency_most", 1, 4096, 512, "maximum concurrency limit");
+    static final Setting<Duration> PEER_IDLE_TIMEOUT = Setting.duration(
+            "links", "idle", "3s", "time without a frame from a router after which its link is closed");
 
     private AgentSettings() {}
 
-    /** Returns all settings, for checking a file. */
+    /** Returns all settings, against which a file is checked. */
     public static List<Setting<?>> all() {
         return List.of(
                 DaemonCommand.REQUEST_LINES,
--- a/agent/src/main/java/org/tanagerhinge/agent/BackendClient.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/BackendClient.java
@@ -19,7 +19,7 @@
 import org.tanagerhinge.core.message.BackendCall;
 import org.tanagerhinge.core.result.ResultCode;
 
-/** Calls the backend server over HTTP and hands on what it produces piece by piece. */
+/** Calls the backend server over HTTP and passes its output to a listener as it arrives. */
 final class BackendClient {
     private static final Duration IDLE_TIMEOUT = Duration.ofMinutes(10);
     private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(2);
@@ -48,7 +48,7 @@
     void abort(long runId) {
         Exchange exchange = exchanges.remove(runId);
         if (exchange != null) {
-            exchange.request.abort(new InterruptedException("nobody waits for it"));
+            exchange.request.abort(new InterruptedException("the run was aborted"));
         }
     }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Asks the backend server's health page; any answer below 500 is a sign of life. */
+    /** Requests the backend server's health path; any status below 500 counts as healthy. */
     void probe(Consumer<Boolean> onResult) {
         client.newRequest(baseUrl + probePath)
                 .timeout(PROBE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
@@ -67,13 +67,13 @@
                         result.isSucceeded() && result.getResponse().getStatus() < MIN_SERVER_ERROR_STATUS));
     }
 
-    /** One call and what came back of it. */
+    /** One HTTP exchange with the backend server. */
     private final class Exchange implements Response.AsyncContentListener {
         private final Run run;
         private final boolean modelCall;
         private final Request request;
         private final CompletionStreamParser stream = new CompletionStreamParser();
-        /** What goes on reading once a pause ends; held back while paused, so that the engine is slowed down. */
+        /** Requests more content. Kept while paused, so that TCP flow control slows the engine down. */
         private final AtomicReference<Runnable> deferredDemand = new AtomicReference<>();
 
         private volatile boolean paused;
@@ -157,8 +157,8 @@
             } else if (stream.isComplete()) {
                 listener.onFinished(run.id(), stream.finishReason());
             } else {
-                // The connection ended in good order but the stream's end marker never came: an engine that died
-                // behind its own HTTP front looks just like this.
+                // The response ended without the stream's end marker, as when an engine process dies behind its
+                // HTTP front end: the answer is truncated.
                 listener.onFailed(run.id(), true, ResultCode.ANSWER_CUT, "the answer ended without its end marker");
             }
         }
--- a/agent/src/main/java/org/tanagerhinge/agent/BackendListener.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/BackendListener.java
@@ -2,7 +2,7 @@
 
 import org.tanagerhinge.core.result.ResultCode;
 
-/** Takes what a backend server produces; called on the HTTP client's threads, in order for one run. */
+/** Receives the output of runs at the backend server, on HTTP client threads and in order for each run. */
 interface BackendListener {
     void onHead(long runId, int status, String contentType);
 
@@ -10,6 +10,6 @@
 
     void onFinished(long runId, String finishReason);
 
-    /** The call failed; {@code began} is false if the backend server provably never got it. */
+    /** Reports that a run failed; {@code reachedBackend} is false if the backend server cannot have received it. */
     void onFailed(long runId, boolean reachedBackend, ResultCode code, String detail);
 }
--- a/agent/src/main/java/org/tanagerhinge/agent/CompletionRequest.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/CompletionRequest.java
@@ -10,8 +10,10 @@
 import org.tanagerhinge.core.message.Frame;
 
 /**
- * Makes the engine's request from the caller's: always streamed, with the tier as the engine's priority, and for a
- * resumed answer with the text so far as the beginning of the assistant's message, to be continued.
+ * Builds the body of a chat completion request to the engine from the caller's.
+ *
+ * <p>It always asks for a stream and bears the tier as the engine's priority. To resume an answer, the text produced so
+ * far is added as an assistant message that the engine continues.
  */
 final class CompletionRequest {
     private static final ObjectMapper JSON = new ObjectMapper();
--- a/agent/src/main/java/org/tanagerhinge/agent/CompletionStreamParser.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/CompletionStreamParser.java
@@ -6,13 +6,13 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
-/** Takes the server-sent events of a chat completion apart: text, tokens, finish reason and end marker. */
+/** Parses the server-sent events of a chat completion: text, token count, finish reason and end marker. */
 final class CompletionStreamParser {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String DATA_PREFIX = "data:";
     private static final String END_MARKER = "[DONE]";
 
-    /** Output since the last look. */
+    /** Tokens and UTF-8 text parsed since the last call of {@link #takeOutput}. */
     record Output(long tokens, byte[] text) {}
 
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Returns what came since the last call. */
+    /** Returns the output parsed since the last call. */
     Output takeOutput() {
         Output output = new Output(tokens, text.toByteArray());
         tokens = 0;
@@ -73,7 +73,7 @@
         return output;
     }
 
-    /** Returns whether the answer is whole: a finish reason and the end marker came, and nothing was broken. */
+    /** Returns whether a finish reason and the end marker were received and no event was malformed or an error. */
     boolean isComplete() {
         return endMarkerSeen && finishReason != null && !malformed;
     }
--- a/agent/src/main/java/org/tanagerhinge/agent/package-info.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/package-info.java
@@ -1,2 +1,2 @@
-/** The agent daemon: the only way to the backend server beside it. */
+/** The agent daemon, which runs beside one backend server and carries all requests to it. */
 package org.tanagerhinge.agent;
--- a/router/src/main/java/org/tanagerhinge/router/AsyncClaimStore.java
+++ b/router/src/main/java/org/tanagerhinge/router/AsyncClaimStore.java
@@ -12,10 +12,9 @@
 import org.tanagerhinge.node.platform.ClaimStore;
 import org.tanagerhinge.node.platform.PlatformException;
 
-/** Makes the calls for claims of keys on threads of their own, since the control thread must not wait for the store. */
+/** Claims and releases idempotency keys on its own threads, so that the control thread never blocks on the store. */
 final class AsyncClaimStore implements AutoCloseable {
     private static final Logger LOG = System.getLogger(AsyncClaimStore.class.getName());
-    /** Claims that are with the platform's store at once: its answers take milliseconds, its rate is a few hundred. */
     private static final int CONCURRENT_CALLS = 4;
 
     private final ExecutorService executor = Executors.newFixedThreadPool(
@@ -28,19 +27,19 @@
         this.metrics = metrics;
     }
 
-    /** Claims a key; {@code done} hears what the store decided, on one of these threads. */
+    /** Claims a key; {@code onDecision} is called with the result on one of the store's threads. */
     void claim(ClaimEntry requested, long expectedGeneration, Consumer<ClaimDecision> onDecision) {
         submit(() -> onDecision.accept(store.claim(requested, expectedGeneration)));
     }
 
-    /** Gives a claim back, if the store answers. */
+    /** Releases a claim; a failed call is counted and logged, and the claim then ends with its lease. */
     void release(ClaimEntry claim) {
         submit(() -> {
             try {
                 store.release(claim);
             } catch (PlatformException e) {
                 metrics.count("platform_call_failed");
-                LOG.log(Level.INFO, "claim " + claim.digest() + " was not given back: " + e.getMessage());
+                LOG.log(Level.INFO, "claim " + claim.digest() + " could not be released: " + e.getMessage());
             }
         });
     }
--- a/router/src/main/java/org/tanagerhinge/router/CallerHandler.java
+++ b/router/src/main/java/org/tanagerhinge/router/CallerHandler.java
@@ -23,7 +23,7 @@
 import org.tanagerhinge.core.result.ResultCode;
 import org.tanagerhinge.core.router.IncomingRequest;
 
-/** Reads callers' requests and opens a session for each. */
+/** Parses and validates callers' HTTP requests and opens a session for each. */
 final class CallerHandler extends Handler.Abstract {
     private static final String COMPLETIONS = "/v1/chat/completions";
     private static final String MODELS = "/v1/models";
@@ -51,7 +51,7 @@
         if (headFailure.isPresent()) {
             daemon.countFailure(headFailure.get());
             if (request.getLength() != 0) {
-                // The body stays unread, so the connection ends; a caller that isn't told sends its next request on it.
+                // The body stays unread, so the connection is closed; without this header the caller would reuse it.
                 response.getHeaders().put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE.asString());
             }
             plainSession.fail(headFailure.get());
@@ -76,7 +76,7 @@
             if (field.getValue() != null && field.getValue().length() > MAX_HEADER_CHARS) {
                 return Optional.of(RequestFailure.notRun(
                         ResultCode.HEADER_TOO_LONG,
-                        field.getName() + ": expected " + MAX_HEADER_CHARS + " characters at the most, got "
+                        field.getName() + ": expected " + MAX_HEADER_CHARS + " characters at most, got "
                                 + field.getValue().length()));
             }
         }
@@ -100,7 +100,7 @@
     }
 
     private RequestFailure bodyTooLarge() {
-        return RequestFailure.notRun(ResultCode.BODY_TOO_LARGE, "the body is over " + maxBodyBytes + " bytes");
+        return RequestFailure.notRun(ResultCode.BODY_TOO_LARGE, "the body exceeds " + maxBodyBytes + " bytes");
     }
 
     private void failUnreadBody(CallerSession session, Throwable cause) {
--- a/router/src/main/java/org/tanagerhinge/router/CallerRegistry.java
+++ b/router/src/main/java/org/tanagerhinge/router/CallerRegistry.java
@@ -9,11 +9,11 @@
 import org.tanagerhinge.core.id.RequestId;
 import org.tanagerhinge.core.result.TanagerhingeException;
 
-/** The callers of requests in progress: their answers, and the connections that are watched for a hang-up. */
+/** Tracks the callers of requests in flight: their sessions, and the connections that are watched for a hang-up. */
 final class CallerRegistry implements AutoCloseable {
     private final HangupWatcher hangups;
     private final Map<RequestId, CallerSession> sessions = new ConcurrentHashMap<>();
-    /** Requests whose answers are not written to the end; a planned stop waits for them too. */
+    /** Requests whose responses are not completely written; a graceful stop waits for them. */
     private final Set<RequestId> unwrittenResponses = ConcurrentHashMap.newKeySet();
 
     private final Map<RequestId, SocketChannel> watchedChannels = new ConcurrentHashMap<>();
@@ -26,11 +26,11 @@
         try {
             return new CallerRegistry(HangupWatcher.start());
         } catch (IOException e) {
-            throw new TanagerhingeException("no selector for watching callers", e);
+            throw new TanagerhingeException("cannot open a selector to watch callers' connections", e);
         }
     }
 
-    /** Watches a caller's connection until its request is finished. */
+    /** Watches a caller's connection for a hang-up until its request is removed. */
     void watch(RequestId id, SocketChannel channel, Runnable onHangup) {
         watchedChannels.put(id, channel);
         hangups.watch(channel, onHangup);
@@ -45,7 +45,7 @@
         return Optional.ofNullable(sessions.get(id));
     }
 
-    /** Takes a request out whose answer is decided; it may still have to be written. */
+    /** Removes a request whose outcome is known; its response may still be written. */
     Optional<CallerSession> remove(RequestId id) {
         SocketChannel channel = watchedChannels.remove(id);
         if (channel != null) {
@@ -54,12 +54,12 @@
         return Optional.ofNullable(sessions.remove(id));
     }
 
-    /** Notes that a request's answer is written to the end. */
+    /** Records that a request's response is completely written. */
     void responseWritten(RequestId id) {
         unwrittenResponses.remove(id);
     }
 
-    /** Returns the number of requests whose answers are not written to the end. */
+    /** Returns the number of requests whose responses are not completely written. */
     int unwrittenResponses() {
         return unwrittenResponses.size();
     }
--- a/router/src/main/java/org/tanagerhinge/router/CallerSession.java
+++ b/router/src/main/java/org/tanagerhinge/router/CallerSession.java
@@ -16,21 +16,21 @@
 import org.tanagerhinge.core.result.ResultCode;
 
 /**
- * Writes one answer to its caller, on traffic threads, in the order in which the control thread gave it.
+ * Writes one response to its caller on traffic threads, in the order in which the control thread delivered its parts.
  *
- * <p>What a caller has not read yet waits here; the units written are reported, and agents are given credit for just
- * those, so what waits is bounded by an agent's credit window.
+ * <p>Output that the caller has not read yet is buffered here. Agents receive credit only for units that were written,
+ * so the buffer is bounded by an agent's credit window.
  */
 final class CallerSession extends IteratingCallback {
     private static final String REQUEST_HEADER = "X-Tanagerhinge-Request";
 
-    /** Told of what becomes of the writing. */
+    /** Receives the progress of the writing. */
     interface Listener {
         void onUnitsWritten(RequestId request, long units);
 
         void onWriteFailed(RequestId request);
 
-        /** Nothing more will be written. */
+        /** Reports that nothing more will be written. */
         void onFinished(RequestId request);
     }
 
@@ -43,7 +43,7 @@
 
         record Failed(RequestFailure failure) implements Event {}
 
-        /** The caller hung up; what is left is to let go of its connection. */
+        /** The caller hung up; only its connection remains to be released. */
         record Abandoned() implements Event {}
     }
 
@@ -90,7 +90,7 @@
         enqueue(new Event.Failed(failure));
     }
 
-    /** Ends a session whose caller is gone; without this the server would keep the exchange for ever. */
+    /** Ends a session whose caller hung up; otherwise the HTTP server would keep the exchange forever. */
     void abandon() {
         enqueue(new Event.Abandoned());
     }
@@ -199,8 +199,8 @@
     protected void onCompleteSuccess() {
         listener.onFinished(request);
         if (truncated) {
-            // Ending the response in good order would pass a broken answer off as whole.
-            callback.failed(new EofException("the answer was cut"));
+            // A response that ends normally would make the truncated answer look complete.
+            callback.failed(new EofException("the answer was truncated"));
         } else {
             callback.succeeded();
         }
--- a/router/src/main/java/org/tanagerhinge/router/CompletionBody.java
+++ b/router/src/main/java/org/tanagerhinge/router/CompletionBody.java
@@ -9,10 +9,10 @@
 import org.tanagerhinge.core.result.ResultCode;
 
 /**
- * What the router reads from the body of a chat completion.
+ * The fields of a chat completion's body that the router uses.
  *
  * @param promptUnits estimated tokens of the prompt
- * @param affinity names the first message, which requests with a common prefix share
+ * @param affinity digest of the model and the beginning of the first message, equal for requests with a common prefix
  */
 record CompletionBody(String model, boolean stream, long promptUnits, String affinity) {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -24,11 +24,11 @@
         JsonNode root = parseObject(body);
         JsonNode model = root.path("model");
         if (!model.isTextual()) {
-            throw malformed("model: expected a text, got " + typeName(model));
+            throw malformed("model: expected a string, got " + typeName(model));
         }
         JsonNode messages = root.path("messages");
         if (!messages.isArray() || messages.isEmpty()) {
-            throw malformed("messages: expected an array of one message or more, got " + typeName(messages));
+            throw malformed("messages: expected an array of at least one message, got " + typeName(messages));
         }
         JsonNode stream = root.path("stream");
         if (!stream.isMissingNode() && !stream.isBoolean()) {
--- a/router/src/main/java/org/tanagerhinge/router/ErrorBody.java
+++ b/router/src/main/java/org/tanagerhinge/router/ErrorBody.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.tanagerhinge.core.result.RequestFailure;
 
-/** The error body in the OpenAI shape, with the numbered code and what is known about whether the request ran. */
+/** Renders a failure as an error body in the OpenAI format, with its numeric code and whether the request ran. */
 final class ErrorBody {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MIN_SERVER_ERROR_STATUS = 500;
--- a/router/src/main/java/org/tanagerhinge/router/HangupWatcher.java
+++ b/router/src/main/java/org/tanagerhinge/router/HangupWatcher.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * Notices that a caller hung up while its request is queued or its answer is being collected.
+ * Detects that a caller hung up while its request is queued or its answer is being buffered.
  *
- * <p>An HTTP server writes nothing to such a caller, so no write fails, and it does not read either until the response
- * is out: the engine would compute a whole answer for nobody. This watcher registers the connections of requests in
- * progress with a selector of its own; one that becomes readable with nothing to read has been closed by the caller.
+ * <p>During that time the HTTP server neither reads from the connection nor writes to it, so it does not see the close,
+ * and the engine would compute an answer that is thrown away. The watcher registers the connections of requests in
+ * flight with its own selector; a connection that is readable with no bytes available was closed by the caller.
  */
 final class HangupWatcher implements AutoCloseable {
     private static final Logger LOG = System.getLogger(HangupWatcher.class.getName());
@@ -38,7 +38,7 @@
         return watcher;
     }
 
-    /** Calls back once, on the watcher's thread, if the caller hangs up before {@link #forget}. */
+    /** Calls back once, on the watcher's thread, if the caller hangs up before {@link #unwatch}. */
     void watch(SocketChannel channel, Runnable onHangup) {
         enqueue(() -> register(channel, onHangup));
     }
@@ -68,7 +68,7 @@
         } catch (ClosedChannelException e) {
             onHangup.run();
         } catch (IOException | CancelledKeyException e) {
-            LOG.log(Level.WARNING, "a connection cannot be watched", e);
+            LOG.log(Level.WARNING, "cannot watch a caller's connection; a hang-up will not cancel its request", e);
         }
     }
 
@@ -93,14 +93,14 @@
         } catch (ClosedSelectorException e) {
             LOG.log(Level.DEBUG, "closed");
         } catch (IOException e) {
-            LOG.log(Level.ERROR, "hang-ups are not noticed any more", e);
+            LOG.log(Level.ERROR, "watching callers' connections failed; hang-ups no longer cancel requests", e);
         }
     }
 
     private static void checkForHangup(SelectionKey key) {
         SocketChannel channel = (SocketChannel) key.channel();
         Runnable onHangup = (Runnable) key.attachment();
-        // Whatever it is, it is looked at once: bytes that the server has not read yet would keep the key ready.
+        // Each key is checked only once: bytes that the server has not read yet would keep it ready in a busy loop.
         key.cancel();
         try {
             boolean closed = channel.socket().getInputStream().available() == 0;
--- a/router/src/main/java/org/tanagerhinge/router/MalformedCallException.java
+++ b/router/src/main/java/org/tanagerhinge/router/MalformedCallException.java
@@ -3,7 +3,7 @@
 import org.tanagerhinge.core.result.RequestFailure;
 import org.tanagerhinge.core.result.TanagerhingeException;
 
-/** Thrown for a call that cannot be read; carries the refusal that its caller gets. */
+/** Thrown for a request that cannot be parsed; carries the failure that its caller receives. */
 final class MalformedCallException extends TanagerhingeException {
     private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/org/tanagerhinge/router/ResponseFormat.java
+++ b/router/src/main/java/org/tanagerhinge/router/ResponseFormat.java
@@ -7,21 +7,21 @@
 import org.tanagerhinge.core.id.RequestId;
 import org.tanagerhinge.core.result.RequestFailure;
 
-/** How an answer looks to its caller. Used by one thread at a time. */
+/** Encodes an answer as the bytes of an HTTP response body. Used by one thread at a time. */
 sealed interface ResponseFormat {
-    /** Returns the content type of the answer. */
+    /** Returns the content type of the response. */
     String contentType();
 
-    /** Returns the bytes to write for a piece of answer; empty to write nothing yet. */
+    /** Returns the bytes to write for a chunk of the answer; empty to write nothing yet. */
     byte[] chunk(byte[] data);
 
-    /** Returns the bytes to write at the end of a whole answer. */
+    /** Returns the bytes to write at the end of a complete answer. */
     byte[] end(String finishReason, long units);
 
-    /** Returns the bytes to write when the answer breaks off after pieces of it were written. */
+    /** Returns the bytes to write when the answer is truncated after chunks of it were written. */
     byte[] truncated(RequestFailure failure);
 
-    /** A plain service's answer, as it is. */
+    /** Passes the answer of a plain service through unchanged. */
     record PassThrough(String contentType) implements ResponseFormat {
         @Override
         public byte[] chunk(byte[] data) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** A chat completion as server-sent events. */
+    /** Encodes a chat completion as server-sent events. */
     final class EventStream implements ResponseFormat {
         private final CompletionJson json;
         private boolean roleSent;
@@ -83,7 +83,7 @@
         }
     }
 
-    /** A chat completion in one piece. */
+    /** Buffers a chat completion and encodes it as one JSON object. */
     final class Buffered implements ResponseFormat {
         private final CompletionJson json;
         private final ByteArrayOutputStream text = new ByteArrayOutputStream();
@@ -118,7 +118,7 @@
         }
     }
 
-    /** The JSON objects of the OpenAI format. */
+    /** Builds the JSON objects of chat completions in the OpenAI format. */
     record CompletionJson(RequestId request, String model, long created) {
         static final ObjectMapper MAPPER = new ObjectMapper();
 
--- a/router/src/main/java/org/tanagerhinge/router/RouterComponent.java
+++ b/router/src/main/java/org/tanagerhinge/router/RouterComponent.java
@@ -3,7 +3,7 @@
 import dagger.Component;
 import jakarta.inject.Singleton;
 
-/** The graph of a router's parts. */
+/** Dependency graph of the router daemon. */
 @Singleton
 @Component(modules = RouterModule.class)
 interface RouterComponent {
--- a/router/src/main/java/org/tanagerhinge/router/RouterDaemon.java
+++ b/router/src/main/java/org/tanagerhinge/router/RouterDaemon.java
@@ -61,7 +61,7 @@
 import org.tanagerhinge.wire.Peer;
 import org.tanagerhinge.wire.SharedSecret;
 
-/** Joins the router's decisions to callers, agents and the platform. */
+/** The router process: connects {@link RouterCore} to callers, agents and the platform's store. */
 public final class RouterDaemon implements Daemon {
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
     private static final int NETWORK_THREADS = 2;
@@ -69,7 +69,7 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** What a router is started with. */
+    /** Addresses, limits and clients with which a router starts. */
     public record Parts(
             String name,
             InetSocketAddress listen,
@@ -111,7 +111,7 @@
                 self, parts.options(), SteadyClock.create(), RandomGenerator.getDefault(), new Port(), metrics);
     }
 
-    /** Starts a router; it takes requests as soon as it has a configuration. */
+    /** Starts a router; it accepts requests as soon as it has a configuration. */
     public static RouterDaemon start(Parts parts) throws TanagerhingeException {
         RouterDaemon daemon = new RouterDaemon(parts);
         try {
@@ -148,7 +148,7 @@
     private void registerGauges() {
         metrics.gauge("requests_in_progress", "Requests in progress", () -> control.ask(core::inFlight));
         metrics.gauge("links", "Agents connected", () -> control.ask(core::linkedAgents));
-        metrics.gauge("servers_ejected", "Servers left alone for being slow", () -> control.ask(core::ejectedServers));
+        metrics.gauge("servers_ejected", "Servers ejected for being slow", () -> control.ask(core::ejectedServers));
         metrics.gauge(
                 "config_revision",
                 "Revision of the profiles document",
@@ -171,17 +171,17 @@
                 : Page.text(200, "ready\n");
     }
 
-    /** Returns the configuration that the router works by. */
+    /** Returns the revision of the active configuration. */
     public ConfigRevision revision() {
         return control.ask(core::revision);
     }
 
-    /** Returns the number of agents connected. */
+    /** Returns the number of connected agents. */
     public int linkCount() {
         return control.ask(core::linkedAgents);
     }
 
-    /** Returns the number of requests whose answers are not written to the end. */
+    /** Returns the number of requests whose responses are not completely written. */
     public int unwrittenResponses() {
         return callers.unwrittenResponses();
     }
@@ -195,8 +195,6 @@
         return metrics;
     }
 
-    // ---- for the caller handler
-
     RequestId nextRequestId() {
         return RequestId.of(
                 parts.name() + "-" + Long.toHexString(self.incarnation()) + "-" + requestNumbers.incrementAndGet());
@@ -225,7 +223,7 @@
         metrics.count("refused_" + failure.code().label());
     }
 
-    /** Returns the list of models in the OpenAI shape, if the key belongs to a workspace. */
+    /** Returns the list of models in the OpenAI format, if the key belongs to a workspace. */
     Optional<String> modelList(String keyHash) {
         ClusterConfig current = config;
         if (!current.profiles().workspacesByKeySha256().containsKey(keyHash)) {
@@ -262,8 +260,6 @@
         }
     }
 
-    // ---- daemon
-
     @Override
     public void beginStop() {
         control.post(core::beginStop);
@@ -297,7 +293,7 @@
         trafficExecutor.shutdown();
     }
 
-    /** Carries out what the decisions ask for; called on the control thread. */
+    /** Performs the I/O that the core requests; called on the control thread. */
     private final class Port implements RouterPort {
         @Override
         public void send(ServerId server, Frame.FromRouter frame) {
@@ -404,7 +400,7 @@
         }
     }
 
-    /** Hands the events of connections to the control thread. */
+    /** Posts events of links to the control thread. */
     private final class LinkEventForwarder implements LinkListener {
         @Override
         public void onUp(Link link) {
--- a/router/src/main/java/org/tanagerhinge/router/RouterMain.java
+++ b/router/src/main/java/org/tanagerhinge/router/RouterMain.java
@@ -10,10 +10,10 @@
 import org.tanagerhinge.node.settings.Setting;
 import org.tanagerhinge.node.settings.Settings;
 
-/** Runs a router until it is asked to stop. */
-@Command(name = "tanagerhinge-router", description = "Takes callers' requests and has agents run them")
+/** Command line of the router: runs the daemon until the process receives a stop signal. */
+@Command(name = "tanagerhinge-router", description = "Accepts callers' requests and dispatches them to agents")
 public final class RouterMain extends DaemonCommand {
-    /** Starts the program. */
+    /** Parses the command line and runs the router. */
     public static void main(String[] args) {
         try {
             SingleCommand<RouterMain> parser = SingleCommand.singleCommand(RouterMain.class);
--- a/router/src/main/java/org/tanagerhinge/router/RouterModule.java
+++ b/router/src/main/java/org/tanagerhinge/router/RouterModule.java
@@ -9,7 +9,7 @@
 import org.tanagerhinge.node.platform.PlatformStore;
 import org.tanagerhinge.node.settings.Settings;
 
-/** Makes a router's parts from its settings. */
+/** Provides the router's dependencies from its settings. */
 @Module
 final class RouterModule {
     private static final int BYTES_PER_KILOBYTE = 1024;
--- a/router/src/main/java/org/tanagerhinge/router/RouterSettings.java
+++ b/router/src/main/java/org/tanagerhinge/router/RouterSettings.java
@@ -12,7 +12,7 @@
 import org.tanagerhinge.node.settings.Settings;
 import org.tanagerhinge.wire.SharedSecret;
 
-/** The settings that a router takes from its INI file. */
+/** Settings of the router's INI file. */
 public final class RouterSettings {
     static final Setting<ServerId> NAME = Setting.id("router", "name", ServerId::of, "name of this router");
     static final Setting<FailureDomain> DOMAIN =
@@ -20,13 +20,18 @@
     static final Setting<InetSocketAddress> LISTEN_ADDRESS =
             Setting.address("router", "listen", null, "where callers connect; also /metrics, /healthz and /readyz");
     static final Setting<Duration> STOP_TIMEOUT =
-            Setting.duration("router", "stop_timeout", "10m", "how long a planned stop may take");
+            Setting.duration("router", "stop_timeout", "10m", "maximum time of a graceful stop");
     static final Setting<String> PLATFORM_URL =
             Setting.text("platform", "url", null, "base URL of the platform's key-value service");
     static final Setting<Duration> PLATFORM_TIMEOUT =
-            Setting.duration("platform", "timeout", "2s", "how long one call to the platform may take");
+            Setting.duration("platform", "timeout", "2s", "timeout of a call to the platform");
     static final Setting<Integer> EXPECTED_ROUTERS = Setting.whole(
-            "platform", "routers", 1, 100_000, 2, "about how many routers there are, which sets how often each polls");
+            "platform",
+            "routers",
+            1,
+            100_000,
+            2,
+            "approximate number of routers, from which the polling interval follows");
     static final Setting<SharedSecret> SECRET = new Setting<>(
             "security",
             "shared_secret",
@@ -35,19 +40,19 @@
             Optional.empty(),
             "the secret that routers and agents share");
     static final Setting<Integer> MAX_BODY_KILOBYTES =
-            Setting.whole("limits", "body_kilobytes", 1, 65_536, 4096, "largest request body");
+            Setting.whole("limits", "body_kilobytes", 1, 65_536, 4096, "maximum size of a request body");
     static final Setting<Integer> MAX_REQUESTS =
-            Setting.whole("limits", "requests", 1, 1_000_000, 20_000, "requests in progress at the most");
-    static final Setting<Integer> MAX_LINKS_PER_TARGET =
-            Setting.whole("links", "per_target", 1, 10_000, 24, "agents connected for each model or service");
-    static final Setting<Duration> PEER_IDLE_TIMEOUT =
-            Setting.duration("links", "idle", "3s", "how long an agent may be silent before it is taken for lost");
+            Setting.whole("limits", "requests", 1, 1_000_000, 20_000, "maximum number of requests in flight");
+    static final Setting<Integer> MAX_LINKS_PER_TARGET = Setting.whole(
+            "links", "per_target", 1, 10_000, 24, "maximum number of connected agents for each model or service");
+    static final Setting<Duration> PEER_IDLE_TIMEOUT = Setting.duration(
+            "links", "idle", "3s", "time without a frame from an agent after which its link is closed");
 
     private static final int POLL_CALLS_PER_SECOND = 40;
 
     private RouterSettings() {}
 
-    /** Returns all settings, for checking a file. */
+    /** Returns all settings, against which a file is checked. */
     public static List<Setting<?>> all() {
         return List.of(
                 DaemonCommand.REQUEST_LINES,
@@ -71,7 +76,7 @@
                 .withMaxExchanges(settings.value(MAX_REQUESTS));
     }
 
-    /** Returns a polling interval at which all routers together make a fixed number of calls, a second at the least. */
+    /** Returns the interval at which all routers together poll at a fixed rate, at least one second. */
     static Duration pollInterval(int routers) {
         return Duration.ofMillis(Math.max(1000, routers * 1000L / POLL_CALLS_PER_SECOND));
     }
--- a/router/src/main/java/org/tanagerhinge/router/package-info.java
+++ b/router/src/main/java/org/tanagerhinge/router/package-info.java
@@ -1,2 +1,2 @@
-/** The router daemon: takes callers' requests over HTTP and has agents run them. */
+/** The router daemon, which accepts callers' requests over HTTP and dispatches them to agents. */
 package org.tanagerhinge.router;
