--- a/agent/src/main/java/org/tanagerhinge/agent/AgentDaemon.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/AgentDaemon.java
@@ -122,48 +122,48 @@
                 () -> links.isEmpty() ? DISCONNECTED_POLL_INTERVAL : parts.pollInterval(),
                 config -> control.post(() -> core.applyConfig(config)),
                 metrics);
-        control.every(TICK_INTERVAL, core::onTick);
-        LogSetup.node(parts.name().value());
+        control.scheduleEvery(TICK_INTERVAL, core::onTick);
+        LogSetup.setNodeName(parts.name().value());
         LogLine.of(LogEvent.STARTED)
                 .with(LogField.WHY, "listening on port " + linkServer.port())
                 .write();
     }
 
     private void registerGauges() {
-        metrics.gauge("queue_length", "Requests queued", () -> control.ask(core::queueLength));
-        metrics.gauge("in_flight", "Requests at the backend server", () -> control.ask(core::inFlight));
-        metrics.gauge(
+        metrics.registerGauge("queue_length", "Requests queued", () -> control.query(core::queueLength));
+        metrics.registerGauge("in_flight", "Requests at the backend server", () -> control.query(core::inFlight));
+        metrics.registerGauge(
                 "concurrency_limit",
                 "Requests that may be at the backend server",
-                () -> control.ask(core::concurrencyLimit));
-        metrics.gauge(
+                () -> control.query(core::concurrencyLimit));
+        metrics.registerGauge(
                 "backend_healthy",
                 "1 if the backend server answers",
-                () -> control.ask(core::isBackendHealthy) ? 1 : 0);
-        metrics.gauge("links", "Routers connected", () -> links.size());
-        metrics.gauge(
+                () -> control.query(core::isBackendHealthy) ? 1 : 0);
+        metrics.registerGauge("links", "Routers connected", () -> links.size());
+        metrics.registerGauge(
                 "config_revision",
                 "Revision of the profiles document",
                 () -> revision().profiles());
-        metrics.gauge(
+        metrics.registerGauge(
                 "servers_revision",
                 "Revision of the servers document",
                 () -> revision().servers());
     }
 
     private Page readinessPage() {
-        boolean ready = control.ask(() -> core.config().isComplete());
+        boolean ready = control.query(() -> core.config().isComplete());
         return ready ? Page.text(200, "ready\n") : Page.text(503, "no configuration has been read yet\n");
     }
 
     /** Returns the revision of the active configuration. */
     public ConfigRevision revision() {
-        return control.ask(core::configRevision);
+        return control.query(core::configRevision);
     }
 
     /** Returns the number of requests at the backend server. */
     public int inFlight() {
-        return control.ask(core::inFlight);
+        return control.query(core::inFlight);
     }
 
     /** Returns the port that routers connect to. */
@@ -186,8 +186,8 @@
     }
 
     @Override
-    public boolean drained() {
-        return control.ask(core::isDrained);
+    public boolean isDrained() {
+        return control.query(core::isDrained);
     }
 
     @Override
--- a/agent/src/main/java/org/tanagerhinge/agent/AgentSettings.java
+++ b/agent/src/main/java/org/tanagerhinge/agent/AgentSettings.java
@@ -41,13 +41,13 @@
             java.util.Optional.empty(),
             "the secret that routers and agents share");
     static final Setting<Integer> MAX_QUEUED_REQUESTS =
-            Setting.whole("limits", "queue_bound", 1, 1_000_000, 1024, "maximum number of queued requests");
+            Setting.integer("limits", "queue_bound", 1, 1_000_000, 1024, "maximum number of queued requests");
     static final Setting<Integer> MAX_QUEUED_MEGABYTES =
-            Setting.whole("limits", "queue_megabytes", 1, 4096, 64, "maximum size of all queued request bodies");
+            Setting.integer("limits", "queue_megabytes", 1, 4096, 64, "maximum size of all queued request bodies");
     static final Setting<Integer> INITIAL_CONCURRENCY =
-            Setting.whole("limits", "concurrency_start", 1, 4096, 8, "initial concurrency limit");
+            Setting.integer("limits", "concurrency_start", 1, 4096, 8, "initial concurrency limit");
     static final Setting<Integer> MAX_CONCURRENCY =
-            Setting.whole("limits", "concurrency_most", 1, 4096, 512, "maximum concurrency limit");
+            Setting.integer("limits", "concurrency_most", 1, 4096, 512, "maximum concurrency limit");
     static final Setting<Duration> PEER_IDLE_TIMEOUT = Setting.duration(
             "links", "idle", "3s", "time without a frame from a router after which its link is closed");
 
--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
@@ -99,16 +99,16 @@
 
     /** Registers gauges for in-flight requests and the age of shared state; they are read on the event loop. */
     private void registerGauges(PeerSynchronizer peers) {
-        metrics.gauge("requests_in_progress", "Requests in flight", gateway::inFlight);
-        metrics.gauge("config_version", "Version of the active configuration", gateway::configVersion);
-        metrics.gauge("servers_age_seconds", "Age of the server list", gateway::serversAgeSeconds);
-        metrics.gauge("peers_present", "Peers that reported recently", gateway::peersPresent);
-        metrics.gauge("peers_age_seconds", "Age of the oldest report among present peers", peers::oldestReportSeconds);
-        duties.ifPresent(participant -> metrics.gauge(
+        metrics.registerGauge("requests_in_progress", "Requests in flight", gateway::inFlight);
+        metrics.registerGauge("config_version", "Version of the active configuration", gateway::configVersion);
+        metrics.registerGauge("servers_age_seconds", "Age of the server list", gateway::serversAgeSeconds);
+        metrics.registerGauge("peers_present", "Peers that reported recently", gateway::peersPresent);
+        metrics.registerGauge("peers_age_seconds", "Age of the oldest report among present peers", peers::oldestReportSeconds);
+        duties.ifPresent(participant -> metrics.registerGauge(
                 "usage_coverage",
                 "Share of known nodes whose counts the latest usage window contains",
                 participant::coverage));
-        metrics.gauge("log_lines_dropped", "Log lines dropped since startup", LogSetup::dropped);
+        metrics.registerGauge("log_lines_dropped", "Log lines dropped since startup", LogSetup::dropped);
     }
 
     private static RelayConfig decode(MetadataStore client, byte[] document) {
@@ -145,7 +145,7 @@
         callerListener = earlySocket
                 .map(socket -> adoptSocket(socket, callers))
                 .orElseGet(() -> listen(options.listenAddress(), callers));
-        LogSetup.node(options.name());
+        LogSetup.setNodeName(options.name());
         LogLine.of(LogEvent.STARTED)
                 .with(LogField.WHY, "listening on " + options.listenAddress())
                 .write();
@@ -238,7 +238,7 @@
     }
 
     @Override
-    public boolean drained() {
+    public boolean isDrained() {
         return intakeClosed
                 && gateway.inFlight() == 0
                 && duties.map(DutyParticipant::settled).orElse(true);
--- a/gateway/src/main/java/org/tanagerhinge/gateway/InstrumentedStore.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/InstrumentedStore.java
@@ -26,7 +26,7 @@
     private <T> Consumer<Reply<T>> timed(String call, Consumer<Reply<T>> onReply) {
         long startedAtNanos = System.nanoTime();
         return reply -> {
-            metrics.storeCall(call, reply.result(), Duration.ofNanos(System.nanoTime() - startedAtNanos));
+            metrics.observeStoreCall(call, reply.result(), Duration.ofNanos(System.nanoTime() - startedAtNanos));
             onReply.accept(reply);
         };
     }
--- a/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/RequestTelemetry.java
@@ -172,12 +172,12 @@
     private void recordTimes(String label, long nowMillis, ResponseProgress progress) {
         long firstEventMillis = progress.firstEventAtMillis() < 0 ? 0 : progress.firstEventAtMillis() - arrivedAtMillis;
         NodeMetrics metrics = gateway.metrics();
-        metrics.times(
+        metrics.observeAnswer(
                 label,
                 Duration.ofMillis(firstEventMillis),
                 Duration.ZERO,
                 Duration.ofMillis(nowMillis - arrivedAtMillis));
-        metrics.longestPause(label, Duration.ofMillis(progress.longestGapMillis()));
+        metrics.longestEventGap(label, Duration.ofMillis(progress.longestGapMillis()));
     }
 
     /**
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
@@ -120,7 +120,7 @@
     }
 
     private void measureRound(Mode mode, int port, boolean recorded) throws IOException {
-        LogSetup.requests(mode == Mode.WITHOUT ? RequestLines.NONE : RequestLines.ALL);
+        LogSetup.setRequestLines(mode == Mode.WITHOUT ? RequestLines.NONE : RequestLines.ALL);
         try (BlockedStream blocked = new BlockedStream()) {
             AutoCloseable copy = mode == Mode.READER_STOPPED ? LogSetup.copyTo(blocked) : () -> {};
             long cpuBeforeNanos = cpuNanos();
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayControlTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayControlTest.java
@@ -268,6 +268,6 @@
             assertTrue(answer.whole(), "what was begun is finished");
             assertTrue(caller.closed());
         }
-        RelayScene.await(gateway::drained);
+        RelayScene.await(gateway::isDrained);
     }
 }
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/UsageReportsTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/UsageReportsTest.java
@@ -123,7 +123,7 @@
         ask(first, "/safe/1", 6);
         ask(second, "/safe/2", 6);
         holder.beginStop();
-        RelayScene.await(holder::drained);
+        RelayScene.await(holder::isDrained);
         scene.stop(holder);
         RelayScene.await(() -> reported() == 12);
         assertEquals(2, holders().size());
--- a/node/src/main/java/org/tanagerhinge/node/control/ControlLoop.java
+++ b/node/src/main/java/org/tanagerhinge/node/control/ControlLoop.java
@@ -21,13 +21,13 @@
  */
 public final class ControlLoop implements AutoCloseable {
     private static final Logger LOG = System.getLogger(ControlLoop.class.getName());
-    private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration QUERY_TIMEOUT = Duration.ofSeconds(5);
 
-    private final ScheduledExecutorService thread;
+    private final ScheduledExecutorService executor;
     private final NodeMetrics metrics;
 
-    private ControlLoop(ScheduledExecutorService thread, NodeMetrics metrics) {
-        this.thread = thread;
+    private ControlLoop(ScheduledExecutorService executor, NodeMetrics metrics) {
+        this.executor = executor;
         this.metrics = metrics;
     }
 
@@ -42,32 +42,32 @@
     /** Runs an event on the control thread; after the end of the loop, events are dropped. */
     public void post(Runnable event) {
         try {
-            thread.execute(() -> guarded(event));
+            executor.execute(() -> runGuarded(event));
         } catch (RejectedExecutionException e) {
             metrics.count("event_after_stop");
         }
     }
 
     /** Runs an event again and again. */
-    public void every(Duration period, Runnable event) {
-        thread.scheduleAtFixedRate(() -> guarded(event), period.toMillis(), period.toMillis(), TimeUnit.MILLISECONDS);
+    public void scheduleEvery(Duration period, Runnable event) {
+        executor.scheduleAtFixedRate(() -> runGuarded(event), period.toMillis(), period.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** Returns what a question to the control state yields; for pages and metrics, not for the request path. */
-    public <T> T ask(Callable<T> question) {
-        if (thread.isShutdown()) {
+    public <T> T query(Callable<T> query) {
+        if (executor.isShutdown()) {
             throw new IllegalStateException("the control thread has ended");
         }
-        CompletableFuture<T> answer = new CompletableFuture<>();
+        CompletableFuture<T> result = new CompletableFuture<>();
         post(() -> {
             try {
-                answer.complete(question.call());
+                result.complete(query.call());
             } catch (Exception e) {
-                answer.completeExceptionally(e);
+                result.completeExceptionally(e);
             }
         });
         try {
-            return answer.get(ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+            return result.get(QUERY_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted", e);
@@ -76,7 +76,7 @@
         }
     }
 
-    private void guarded(Runnable event) {
+    private void runGuarded(Runnable event) {
         try {
             event.run();
         } catch (RuntimeException e) {
@@ -87,6 +87,6 @@
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/node/src/main/java/org/tanagerhinge/node/daemon/Daemon.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/Daemon.java
@@ -8,7 +8,7 @@
     void beginStop();
 
     /** Returns whether nothing is in progress any more. */
-    boolean drained();
+    boolean isDrained();
 
     /** Returns how long a planned stop may take before what is left is cut off. */
     Duration stopTimeout();
--- a/node/src/main/java/org/tanagerhinge/node/daemon/DaemonCommand.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/DaemonCommand.java
@@ -35,7 +35,7 @@
     public static final int EXIT_CANNOT_START = 3;
 
     /** Which lines about single requests are logged; each daemon has it among its settings. */
-    public static final Setting<RequestLines> REQUEST_LINES = Setting.word(
+    public static final Setting<RequestLines> REQUEST_LINES = Setting.choice(
             "log",
             "requests",
             RequestLines.class,
@@ -51,7 +51,7 @@
         LogSetup.toStandardOutput();
     }
 
-    private final AtomicInteger hangUps = new AtomicInteger();
+    private final AtomicInteger hangupSignals = new AtomicInteger();
 
     @AirlineModule
     private HelpOption<DaemonCommand> help;
@@ -99,35 +99,35 @@
      */
     public final int run(Path file) {
         // Read before the settings are taken from it: a change that comes while the daemon starts must be noticed.
-        String inForce = read(file);
+        String activeText = readOrEmpty(file);
         Settings settings;
         try {
             settings = Settings.load(file, parsedOverrides(), settings());
         } catch (TanagerhingeException e) {
-            return fail(e, EXIT_BAD_SETTINGS);
+            return reportFailure(e, EXIT_BAD_SETTINGS);
         }
         if (checkOnly) {
             System.out.println(file + ": ok");
             return 0;
         }
-        setUpLog(settings);
+        configureRequestLines(settings);
         try {
-            runUntilStopped(start(settings), file, inForce);
+            runUntilStopped(start(settings), file, activeText);
             return 0;
         } catch (TanagerhingeException e) {
-            return fail(e, EXIT_CANNOT_START);
+            return reportFailure(e, EXIT_CANNOT_START);
         }
     }
 
-    private void setUpLog(Settings settings) {
+    private void configureRequestLines(Settings settings) {
         if (settings().contains(REQUEST_LINES)) {
-            LogSetup.requests(settings.value(REQUEST_LINES));
+            LogSetup.setRequestLines(settings.value(REQUEST_LINES));
         }
     }
 
-    private static int fail(TanagerhingeException problem, int exitCode) {
+    private static int reportFailure(TanagerhingeException failure, int exitCode) {
         PrintStream err = System.err;
-        err.println(problem.getMessage());
+        err.println(failure.getMessage());
         return exitCode;
     }
 
@@ -147,22 +147,22 @@
     }
 
     /** SIGTERM is a planned stop: the hook holds the process until nothing is in progress or the bound is reached. */
-    private void runUntilStopped(Daemon daemon, Path file, String atStart) {
+    private void runUntilStopped(Daemon daemon, Path file, String initialText) {
         CountDownLatch stopped = new CountDownLatch(1);
         // Without a handler of its own a JVM takes SIGHUP for a request to end.
-        Signal.handle(new Signal("HUP"), signal -> hangUps.incrementAndGet());
+        Signal.handle(new Signal("HUP"), signal -> hangupSignals.incrementAndGet());
         Runtime.getRuntime().addShutdownHook(Thread.ofPlatform().name("stop").unstarted(() -> {
             stop(daemon);
             stopped.countDown();
         }));
         try {
-            String inForce = atStart;
-            int seen = hangUps.get();
+            String activeText = initialText;
+            int handledSignals = hangupSignals.get();
             while (!stopped.await(SETTINGS_POLL.toMillis(), TimeUnit.MILLISECONDS)) {
-                String now = read(file);
-                if (!now.isEmpty() && (hangUps.get() != seen || !now.equals(inForce))) {
-                    seen = hangUps.get();
-                    inForce = now;
+                String currentText = readOrEmpty(file);
+                if (!currentText.isEmpty() && (hangupSignals.get() != handledSignals || !currentText.equals(activeText))) {
+                    handledSignals = hangupSignals.get();
+                    activeText = currentText;
                     reload(daemon, file);
                 }
             }
@@ -171,7 +171,7 @@
         }
     }
 
-    private static String read(Path file) {
+    private static String readOrEmpty(Path file) {
         try {
             return Files.readString(file);
         } catch (IOException e) {
@@ -181,9 +181,9 @@
 
     private void reload(Daemon daemon, Path file) {
         try {
-            Settings newer = Settings.load(file, parsedOverrides(), settings());
-            setUpLog(newer);
-            reloaded(daemon, newer);
+            Settings changed = Settings.load(file, parsedOverrides(), settings());
+            configureRequestLines(changed);
+            reloaded(daemon, changed);
             LogLine.of(LogEvent.SETTINGS_READ).write();
         } catch (TanagerhingeException e) {
             LogLine.failure(LogEvent.SETTINGS_REFUSED)
@@ -194,20 +194,20 @@
 
     private static void stop(Daemon daemon) {
         LogLine.of(LogEvent.STOPPING).write();
-        long began = System.nanoTime();
+        long startedNanos = System.nanoTime();
         daemon.beginStop();
-        long bound = began + daemon.stopTimeout().toNanos();
+        long deadlineNanos = startedNanos + daemon.stopTimeout().toNanos();
         try {
-            while (!daemon.drained() && System.nanoTime() - bound < 0) {
+            while (!daemon.isDrained() && System.nanoTime() - deadlineNanos < 0) {
                 Thread.sleep(STOP_POLL.toMillis());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        boolean drained = daemon.drained();
+        boolean drained = daemon.isDrained();
         daemon.close();
         LogLine.of(LogEvent.STOPPED, !drained)
-                .with(LogField.MS, (System.nanoTime() - began) / 1_000_000)
+                .with(LogField.MS, (System.nanoTime() - startedNanos) / 1_000_000)
                 .with(LogField.END, drained ? "drained" : "with work in progress")
                 .write();
         LogSetup.flush();
--- a/node/src/main/java/org/tanagerhinge/node/daemon/HttpClients.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/HttpClients.java
@@ -7,24 +7,24 @@
 
 /** Makes Jetty HTTP clients with the bounds that the daemons use. */
 public final class HttpClients {
-    private static final int CONNECTIONS = 4096;
-    private static final int MOST_THREADS = 24;
-    private static final int LEAST_THREADS = 4;
+    private static final int MAX_CONNECTIONS = 4096;
+    private static final int MAX_THREADS = 24;
+    private static final int MIN_THREADS = 4;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
     private HttpClients() {}
 
     /** Returns a started client; its threads are daemons. */
     public static HttpClient started(String name) {
-        QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, LEAST_THREADS);
+        QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         threads.setName(name);
         threads.setDaemon(true);
         ClientConnector connector = new ClientConnector();
         connector.setSelectors(1);
         HttpClient client = new HttpClient(new HttpClientTransportOverHTTP(connector));
         client.setExecutor(threads);
-        client.setMaxConnectionsPerDestination(CONNECTIONS);
-        client.setMaxRequestsQueuedPerDestination(CONNECTIONS);
+        client.setMaxConnectionsPerDestination(MAX_CONNECTIONS);
+        client.setMaxRequestsQueuedPerDestination(MAX_CONNECTIONS);
         client.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
         client.setFollowRedirects(false);
         client.setUserAgentField(null);
--- a/node/src/main/java/org/tanagerhinge/node/daemon/HttpServer.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/HttpServer.java
@@ -20,10 +20,10 @@
 
 /** A Jetty server on one address, with plain pages such as {@code /metrics} before a handler of the daemon's own. */
 public final class HttpServer implements AutoCloseable {
-    private static final int HEADER_BYTES = 16 * 1024;
-    private static final int LEAST_THREADS = 4;
-    private static final int MOST_THREADS = 32;
-    private static final int ACCEPT_QUEUE = 1024;
+    private static final int MAX_HEADER_BYTES = 16 * 1024;
+    private static final int MIN_THREADS = 4;
+    private static final int MAX_THREADS = 32;
+    private static final int ACCEPT_QUEUE_SIZE = 1024;
 
     /** A page made anew at each call. */
     public record Page(int status, String contentType, String body) {
@@ -56,22 +56,22 @@
      * @param pages by path
      * @param other takes every other path
      */
-    public static HttpServer start(InetSocketAddress address, Map<String, Supplier<Page>> pages, Handler other)
+    public static HttpServer start(InetSocketAddress address, Map<String, Supplier<Page>> pages, Handler fallback)
             throws HttpServerException {
-        QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, LEAST_THREADS);
+        QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         threads.setName("http");
         threads.setDaemon(true);
         Server server = new Server(threads);
         HttpConfiguration http = new HttpConfiguration();
-        http.setRequestHeaderSize(HEADER_BYTES);
+        http.setRequestHeaderSize(MAX_HEADER_BYTES);
         http.setSendServerVersion(false);
         ServerConnector connector = new ServerConnector(server, 1, 2, new HttpConnectionFactory(http));
         connector.setHost(address.getAddress().getHostAddress());
         connector.setPort(address.getPort());
-        connector.setAcceptQueueSize(ACCEPT_QUEUE);
+        connector.setAcceptQueueSize(ACCEPT_QUEUE_SIZE);
         server.addConnector(connector);
-        server.setHandler(new PageHandler(pages, other));
-        server.setErrorHandler(new NumberedErrors());
+        server.setHandler(new PageHandler(pages, fallback));
+        server.setErrorHandler(new ResultCodeErrorHandler());
         try {
             server.start();
         } catch (Exception e) {
@@ -99,8 +99,8 @@
     private static final class PageHandler extends Handler.Wrapper {
         private final Map<String, Supplier<Page>> pages;
 
-        PageHandler(Map<String, Supplier<Page>> pages, Handler other) {
-            super(other);
+        PageHandler(Map<String, Supplier<Page>> pages, Handler fallback) {
+            super(fallback);
             this.pages = Map.copyOf(pages);
         }
 
@@ -119,17 +119,17 @@
     }
 
     /** Answers requests that cannot even be parsed with a numbered result, as every other refusal has one. */
-    private static final class NumberedErrors extends ErrorHandler {
+    private static final class ResultCodeErrorHandler extends ErrorHandler {
         @Override
         public boolean handle(Request request, Response response, Callback callback) {
-            ResultCode code = code(response.getStatus());
+            ResultCode code = resultCode(response.getStatus());
             response.getHeaders().put(ResultCode.HEADER, Integer.toString(code.number()));
             response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/plain; charset=utf-8");
             Content.Sink.write(response, true, code.meaning() + "\n", callback);
             return true;
         }
 
-        private static ResultCode code(int status) {
+        private static ResultCode resultCode(int status) {
             return switch (status) {
                 case 404 -> ResultCode.UNKNOWN_PATH;
                 case 405 -> ResultCode.BAD_METHOD;
--- a/node/src/main/java/org/tanagerhinge/node/daemon/RequestLog.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/RequestLog.java
@@ -15,29 +15,29 @@
     private RequestLog() {}
 
     /** Logs that a request goes to a backend server, or to its agent. */
-    public static void sent(RequestId request, ServerId server, Duration left) {
+    public static void sent(RequestId request, ServerId server, Duration timeLeft) {
         LogLine.of(LogEvent.SENT)
                 .with(LogField.ID, request.value())
                 .with(LogField.SERVER, server.value())
-                .with(LogField.LEFT_MS, left.toMillis())
+                .with(LogField.LEFT_MS, timeLeft.toMillis())
                 .write();
     }
 
     /** Logs how a request's attempt failed. */
-    public static void attemptFailed(RequestId request, ServerId server, ResultCode code, RunOutcome run, String why) {
+    public static void attemptFailed(RequestId request, ServerId server, ResultCode code, RunOutcome runOutcome, String reason) {
         LogLine.failure(LogEvent.ATTEMPT_FAILED)
                 .with(LogField.ID, request.value())
                 .with(LogField.SERVER, server.value())
                 .with(LogField.CODE, code.number())
-                .with(LogField.RUN, run.label())
-                .with(LogField.WHY, why)
+                .with(LogField.RUN, runOutcome.label())
+                .with(LogField.WHY, reason)
                 .write();
     }
 
     /** Logs how a request ended. */
     public static void ended(ExchangeOutcome outcome) {
-        boolean whole = outcome.code() == ResultCode.OK;
-        LogLine.of(whole ? LogEvent.ENDED : LogEvent.REFUSED, !whole)
+        boolean succeeded = outcome.code() == ResultCode.OK;
+        LogLine.of(succeeded ? LogEvent.ENDED : LogEvent.REFUSED, !succeeded)
                 .with(LogField.ID, outcome.request().value())
                 .with(LogField.WORKSPACE, outcome.workspace().value())
                 .with(LogField.PROFILE, outcome.profile().value())
--- a/node/src/main/java/org/tanagerhinge/node/log/BoundedAppender.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/BoundedAppender.java
@@ -20,28 +20,28 @@
  */
 final class BoundedAppender extends UnsynchronizedAppenderBase<ILoggingEvent> {
     /** Lines gathered at the most, in bytes: a few seconds of a busy node's. */
-    private static final int MOST_BUFFERED = 256 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 256 * 1024;
     /** Volume that is written for long, in bytes a second: five times that of a node with 25 requests a second. */
-    static final int BYTES_A_SECOND = 128 * 1024;
+    static final int MAX_BYTES_PER_SECOND = 128 * 1024;
     /** Part of buffer and volume that only lines about failures may use. */
-    private static final double FAILURES_ONLY = 0.25;
+    private static final double RESERVED_FOR_FAILURES = 0.25;
     /** Lines wait this long for others, since each write and each wake-up costs processor time. */
-    private static final Duration GATHER = Duration.ofMillis(100);
+    private static final Duration BATCH_DELAY = Duration.ofMillis(100);
 
     private final JsonLineEncoder encoder;
     private final OutputStream out;
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition written = lock.newCondition();
-    private final Condition filled = lock.newCondition();
-    private final Condition hurried = lock.newCondition();
-    private ByteArrayOutputStream gathered = new ByteArrayOutputStream(4096);
-    private double allowance = BYTES_A_SECOND;
-    private long allowanceAt = System.nanoTime();
+    private final Condition batchWritten = lock.newCondition();
+    private final Condition bufferNotEmpty = lock.newCondition();
+    private final Condition flushRequestedCondition = lock.newCondition();
+    private ByteArrayOutputStream buffer = new ByteArrayOutputStream(4096);
+    private double availableBytes = MAX_BYTES_PER_SECOND;
+    private long refilledAtNanos = System.nanoTime();
     private long dropped;
-    private long droppedInAll;
-    private Thread writer;
+    private long totalDropped;
+    private Thread writerThread;
     private boolean writing;
-    private boolean hurry;
+    private boolean flushRequested;
 
     private BoundedAppender(JsonLineEncoder encoder, OutputStream out) {
         this.encoder = encoder;
@@ -56,14 +56,14 @@
     @Override
     public void start() {
         super.start();
-        writer = Thread.ofPlatform().name("log").daemon().start(this::writeForEver);
+        writerThread = Thread.ofPlatform().name("log").daemon().start(this::writeBatches);
     }
 
     @Override
     public void stop() {
         super.stop();
-        if (writer != null) {
-            writer.interrupt();
+        if (writerThread != null) {
+            writerThread.interrupt();
         }
     }
 
@@ -77,48 +77,48 @@
         lock.lock();
         try {
             refill();
-            double kept = failure ? 0 : FAILURES_ONLY;
-            if (gathered.size() + line.length > MOST_BUFFERED * (1 - kept)
-                    || allowance - line.length < BYTES_A_SECOND * kept) {
+            double reserved = failure ? 0 : RESERVED_FOR_FAILURES;
+            if (buffer.size() + line.length > MAX_BUFFERED_BYTES * (1 - reserved)
+                    || availableBytes - line.length < MAX_BYTES_PER_SECOND * reserved) {
                 dropped++;
-                droppedInAll++;
+                totalDropped++;
                 return;
             }
-            allowance -= line.length;
-            if (gathered.size() == 0) {
-                filled.signal();
+            availableBytes -= line.length;
+            if (buffer.size() == 0) {
+                bufferNotEmpty.signal();
             }
-            gathered.writeBytes(line);
+            buffer.writeBytes(line);
         } finally {
             lock.unlock();
         }
     }
 
     private void refill() {
-        long now = System.nanoTime();
-        allowance = Math.min(BYTES_A_SECOND, allowance + (now - allowanceAt) / 1e9 * BYTES_A_SECOND);
-        allowanceAt = now;
+        long nowNanos = System.nanoTime();
+        availableBytes = Math.min(MAX_BYTES_PER_SECOND, availableBytes + (nowNanos - refilledAtNanos) / 1e9 * MAX_BYTES_PER_SECOND);
+        refilledAtNanos = nowNanos;
     }
 
     /** Returns how many lines were dropped since the start. */
     long dropped() {
         lock.lock();
         try {
-            return droppedInAll;
+            return totalDropped;
         } finally {
             lock.unlock();
         }
     }
 
     /** Waits until what was gathered is written, for a bounded time: a reader that has stopped must not hold an exit. */
-    void flush(Duration most) {
-        long left = most.toNanos();
+    void flush(Duration timeout) {
+        long remainingNanos = timeout.toNanos();
         lock.lock();
         try {
-            hurry = true;
-            hurried.signal();
-            while ((gathered.size() > 0 || writing) && left > 0) {
-                left = written.awaitNanos(left);
+            flushRequested = true;
+            flushRequestedCondition.signal();
+            while ((buffer.size() > 0 || writing) && remainingNanos > 0) {
+                remainingNanos = batchWritten.awaitNanos(remainingNanos);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -127,10 +127,10 @@
         }
     }
 
-    private void writeForEver() {
+    private void writeBatches() {
         try {
             while (true) {
-                byte[] lines = take();
+                byte[] lines = takeBatch();
                 out.write(lines);
                 out.flush();
             }
@@ -142,25 +142,25 @@
         }
     }
 
-    private byte[] take() throws InterruptedException {
+    private byte[] takeBatch() throws InterruptedException {
         lock.lockInterruptibly();
         try {
             writing = false;
-            written.signalAll();
-            while (gathered.size() == 0) {
-                filled.await();
+            batchWritten.signalAll();
+            while (buffer.size() == 0) {
+                bufferNotEmpty.await();
             }
-            long left = GATHER.toNanos();
-            while (!hurry && left > 0) {
-                left = hurried.awaitNanos(left);
+            long remainingNanos = BATCH_DELAY.toNanos();
+            while (!flushRequested && remainingNanos > 0) {
+                remainingNanos = flushRequestedCondition.awaitNanos(remainingNanos);
             }
-            hurry = false;
+            flushRequested = false;
             if (dropped > 0) {
-                gathered.writeBytes(encoder.dropped(dropped));
+                buffer.writeBytes(encoder.droppedLine(dropped));
                 dropped = 0;
             }
-            byte[] lines = gathered.toByteArray();
-            gathered.reset();
+            byte[] lines = buffer.toByteArray();
+            buffer.reset();
             writing = true;
             return lines;
         } finally {
--- a/node/src/main/java/org/tanagerhinge/node/log/JsonLineEncoder.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/JsonLineEncoder.java
@@ -13,21 +13,21 @@
  * generator for each line, and an event of the library for each field, took 22% of a gateway's processor time.
  */
 final class JsonLineEncoder {
-    private static final int MOST_FRAMES = 12;
-    private static final int USUAL_CHARS = 400;
+    private static final int MAX_STACK_FRAMES = 12;
+    private static final int INITIAL_LINE_CHARS = 400;
 
     private final long startNanos = System.nanoTime();
     private volatile String node = "";
 
     /** Sets the name of the process's host, which each line bears. */
-    void node(String name) {
-        node = name;
+    void node(String nodeName) {
+        node = nodeName;
     }
 
     /** Returns the beginning of a line about an event. */
-    StringBuilder begin(long at, String level, String event) {
-        StringBuilder line = new StringBuilder(USUAL_CHARS);
-        line.append("{\"at\":").append(at);
+    StringBuilder begin(long epochMillis, String level, String event) {
+        StringBuilder line = new StringBuilder(INITIAL_LINE_CHARS);
+        line.append("{\"at\":").append(epochMillis);
         line.append(",\"up\":").append((System.nanoTime() - startNanos) / 1_000_000);
         field(line, "node", node);
         field(line, "level", level);
@@ -81,7 +81,7 @@
 
     private static void frames(StringBuilder line, StackTraceElementProxy[] frames) {
         line.append(",\"frames\":[");
-        for (int i = 0; i < Math.min(MOST_FRAMES, frames.length); i++) {
+        for (int i = 0; i < Math.min(MAX_STACK_FRAMES, frames.length); i++) {
             line.append(i == 0 ? "" : ",");
             text(line, frames[i].getStackTraceElement().toString());
         }
@@ -89,7 +89,7 @@
     }
 
     /** Returns the line that tells how many lines were dropped. */
-    byte[] dropped(long count) {
+    byte[] droppedLine(long count) {
         StringBuilder line = begin(System.currentTimeMillis(), "WARN", LogEvent.LOG_DROPPED.label());
         field(line, LogField.COUNT.label(), count);
         return end(line);
--- a/node/src/main/java/org/tanagerhinge/node/log/LogEvent.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/LogEvent.java
@@ -51,7 +51,7 @@
         BELIEF,
         PROCESS;
 
-        String logger() {
+        String loggerName() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
--- a/node/src/main/java/org/tanagerhinge/node/log/LogLine.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/LogLine.java
@@ -17,12 +17,12 @@
 
     static {
         for (LogEvent.Subject subject : LogEvent.Subject.values()) {
-            LOGGERS.put(subject, LoggerFactory.getLogger(subject.logger()));
+            LOGGERS.put(subject, LoggerFactory.getLogger(subject.loggerName()));
         }
     }
 
     /** Takes the fields of lines that nobody wants. */
-    private static final LogLine UNWANTED = new LogLine(null, false);
+    private static final LogLine DISABLED = new LogLine(null, false);
 
     private final StringBuilder text;
     private final boolean failure;
@@ -46,7 +46,7 @@
     public static LogLine of(LogEvent event, boolean failure) {
         Level level = failure ? Level.WARN : Level.INFO;
         if (!LOGGERS.get(event.subject()).isEnabledForLevel(level)) {
-            return UNWANTED;
+            return DISABLED;
         }
         return new LogLine(LogSetup.begin(level.toString(), event), failure);
     }
--- a/node/src/main/java/org/tanagerhinge/node/log/LogProvider.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/LogProvider.java
@@ -16,7 +16,7 @@
  */
 public final class LogProvider implements SLF4JServiceProvider {
     /** The version of the interface that this was written for. */
-    private static final String REQUESTED_API = "2.0.99";
+    private static final String REQUESTED_API_VERSION = "2.0.99";
 
     private final LoggerContext context = new LoggerContext();
     private final IMarkerFactory markers = new BasicMarkerFactory();
@@ -47,6 +47,6 @@
 
     @Override
     public String getRequestedApiVersion() {
-        return REQUESTED_API;
+        return REQUESTED_API_VERSION;
     }
 }
--- a/node/src/main/java/org/tanagerhinge/node/log/LogSetup.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/LogSetup.java
@@ -24,29 +24,29 @@
  */
 @ConfiguratorRank(ConfiguratorRank.CUSTOM_HIGH_PRIORITY)
 public final class LogSetup extends ContextAwareBase implements Configurator {
-    private static final String TARGET = "tanagerhinge.log.target";
-    private static final Duration MOST_FLUSH = Duration.ofMillis(300);
+    private static final String TARGET_PROPERTY = "tanagerhinge.log.target";
+    private static final Duration FLUSH_TIMEOUT = Duration.ofMillis(300);
     private static final JsonLineEncoder ENCODER = new JsonLineEncoder();
     private static volatile BoundedAppender appender;
     private static final List<BoundedAppender> COPIES = new CopyOnWriteArrayList<>();
 
     /** Has lines written to standard output; must be called before the first logger is made. */
     public static void toStandardOutput() {
-        System.setProperty(TARGET, "out");
+        System.setProperty(TARGET_PROPERTY, "out");
         if (System.getProperty(LoggerFactory.PROVIDER_PROPERTY_KEY) == null) {
             System.setProperty(LoggerFactory.PROVIDER_PROPERTY_KEY, LogProvider.class.getName());
         }
     }
 
     /** Sets the name that each line of this process bears. */
-    public static void node(String name) {
+    public static void setNodeName(String name) {
         ENCODER.node(name);
     }
 
     /** Sets which lines about single requests are written, while the process runs. */
-    public static void requests(RequestLines lines) {
+    public static void setRequestLines(RequestLines lines) {
         if (LoggerFactory.getILoggerFactory() instanceof LoggerContext context) {
-            context.getLogger(LogEvent.Subject.REQUEST.logger())
+            context.getLogger(LogEvent.Subject.REQUEST.loggerName())
                     .setLevel(
                             switch (lines) {
                                 case ALL -> level("tanagerhinge.request.log");
@@ -90,7 +90,7 @@
         return () -> {
             root.detachAppender(copy);
             COPIES.remove(copy);
-            copy.flush(MOST_FLUSH);
+            copy.flush(FLUSH_TIMEOUT);
             copy.stop();
         };
     }
@@ -99,7 +99,7 @@
     public static void flush() {
         BoundedAppender current = appender;
         if (current != null) {
-            current.flush(MOST_FLUSH);
+            current.flush(FLUSH_TIMEOUT);
         }
     }
 
@@ -110,7 +110,7 @@
     }
 
     static void setUp(LoggerContext context) {
-        FileDescriptor target = "out".equals(System.getProperty(TARGET)) ? FileDescriptor.out : FileDescriptor.err;
+        FileDescriptor target = "out".equals(System.getProperty(TARGET_PROPERTY)) ? FileDescriptor.out : FileDescriptor.err;
         BoundedAppender bounded = BoundedAppender.to(new FileOutputStream(target), ENCODER);
         bounded.setContext(context);
         bounded.setName("LINES");
@@ -123,7 +123,7 @@
         root.addAppender(bounded);
         context.getLogger("org.eclipse.jetty").setLevel(Level.WARN);
         context.getLogger("io.netty").setLevel(Level.WARN);
-        context.getLogger(LogEvent.Subject.REQUEST.logger()).setLevel(level("tanagerhinge.request.log"));
+        context.getLogger(LogEvent.Subject.REQUEST.loggerName()).setLevel(level("tanagerhinge.request.log"));
     }
 
     private static Level level(String property) {
--- a/node/src/main/java/org/tanagerhinge/node/metrics/NodeMetrics.java
+++ b/node/src/main/java/org/tanagerhinge/node/metrics/NodeMetrics.java
@@ -19,12 +19,12 @@
 /** The counters, gauges and histograms of one node, in a registry of their own. */
 public final class NodeMetrics implements InvariantMonitor {
     private static final Logger LOG = System.getLogger(NodeMetrics.class.getName());
-    private static final double[] SECONDS = {
+    private static final double[] BUCKET_BOUNDS_SECONDS = {
         0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.44, 0.6, 1, 1.5, 2.5, 5, 10, 20, 40, 80, 160
     };
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
-    private final Counter reasons = Counter.builder()
+    private final Counter decisions = Counter.builder()
             .name("tanagerhinge_decisions_total")
             .help("Refusals, retries, sheds and other decisions by reason")
             .labelNames("reason")
@@ -34,24 +34,24 @@
             .help("Ended requests by profile and result code")
             .labelNames("profile", "code")
             .register(registry);
-    private final Counter checks = Counter.builder()
+    private final Counter invariantChecks = Counter.builder()
             .name("tanagerhinge_invariant_checks_total")
             .help("Checks of what must always hold; any violation calls for a look")
             .labelNames("promise", "result")
             .register(registry);
-    private final Histogram firstToken = histogram("tanagerhinge_first_output_seconds", "Arrival to first output");
+    private final Histogram firstOutput = histogram("tanagerhinge_first_output_seconds", "Arrival to first output");
     private final Histogram betweenTokens =
             histogram("tanagerhinge_between_tokens_seconds", "Mean time between tokens of an answer");
-    private final Histogram longestPause =
+    private final Histogram longestEventGap =
             histogram("tanagerhinge_longest_pause_seconds", "Longest pause between two events of a stream");
-    private final Histogram whole = histogram("tanagerhinge_whole_answer_seconds", "Arrival to whole answer");
+    private final Histogram completeAnswer = histogram("tanagerhinge_whole_answer_seconds", "Arrival to whole answer");
 
     private final Histogram storeCalls = Histogram.builder()
             .name("tanagerhinge_store_call_seconds")
             .help("Calls to the platform's store, by call and how they ended")
             .labelNames("call", "result")
             .classicOnly()
-            .classicUpperBounds(SECONDS)
+            .classicUpperBounds(BUCKET_BOUNDS_SECONDS)
             .register(registry);
 
     private NodeMetrics() {}
@@ -67,34 +67,34 @@
                 .help(help)
                 .labelNames("profile")
                 .classicOnly()
-                .classicUpperBounds(SECONDS)
+                .classicUpperBounds(BUCKET_BOUNDS_SECONDS)
                 .register(registry);
     }
 
     /** Counts a decision by its reason. */
     public void count(String reason) {
-        reasons.labelValues(reason).inc();
+        decisions.labelValues(reason).inc();
     }
 
     /** Counts the end of a request. */
-    public void result(String profile, int code) {
+    public void countResult(String profile, int code) {
         results.labelValues(profile, Integer.toString(code)).inc();
     }
 
     /** Notes the times of a whole answer; zero times are left out. */
-    public void times(String profile, Duration first, Duration between, Duration all) {
-        observe(firstToken, profile, first);
-        observe(betweenTokens, profile, between);
-        observe(whole, profile, all);
+    public void observeAnswer(String profile, Duration timeToFirstOutput, Duration meanTokenGap, Duration totalTime) {
+        observe(firstOutput, profile, timeToFirstOutput);
+        observe(betweenTokens, profile, meanTokenGap);
+        observe(completeAnswer, profile, totalTime);
     }
 
     /** Notes the longest pause of a stream that has ended; zero is left out. */
-    public void longestPause(String profile, Duration pause) {
-        observe(longestPause, profile, pause);
+    public void longestEventGap(String profile, Duration gap) {
+        observe(longestEventGap, profile, gap);
     }
 
     /** Notes a call to the platform's store. */
-    public void storeCall(String call, String result, Duration time) {
+    public void observeStoreCall(String call, String result, Duration time) {
         storeCalls.labelValues(call, result).observe(time.toNanos() / 1e9);
     }
 
@@ -105,16 +105,16 @@
     }
 
     /** Shows a value that is read whenever the metrics are. */
-    public void gauge(String name, String help, DoubleSupplier value) {
+    public void registerGauge(String name, String help, DoubleSupplier value) {
         GaugeWithCallback.builder()
                 .name("tanagerhinge_" + name)
                 .help(help)
-                .callback(callback -> callback.call(orUnknown(value)))
+                .callback(callback -> callback.call(valueOrNaN(value)))
                 .register(registry);
     }
 
     /** A control thread that has ended or is stuck must not take the other metrics with it. */
-    private static double orUnknown(DoubleSupplier value) {
+    private static double valueOrNaN(DoubleSupplier value) {
         try {
             return value.getAsDouble();
         } catch (IllegalStateException e) {
@@ -123,14 +123,14 @@
     }
 
     @Override
-    public void recordHeld(Invariant promise) {
-        checks.labelValues(promise.label(), "held").inc();
+    public void recordHeld(Invariant invariant) {
+        invariantChecks.labelValues(invariant.label(), "held").inc();
     }
 
     @Override
-    public void recordViolation(Invariant promise, String detail) {
-        checks.labelValues(promise.label(), "violated").inc();
-        LOG.log(Level.ERROR, "promise " + promise.label() + " violated: " + detail);
+    public void recordViolation(Invariant invariant, String detail) {
+        invariantChecks.labelValues(invariant.label(), "violated").inc();
+        LOG.log(Level.ERROR, "promise " + invariant.label() + " violated: " + detail);
     }
 
     /** Returns everything in the Prometheus text format. */
--- a/node/src/main/java/org/tanagerhinge/node/platform/ClaimStore.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/ClaimStore.java
@@ -22,19 +22,19 @@
  */
 public final class ClaimStore {
     /** How long claims last at the least: longer than agents remember a request (an hour) and than any deadline. */
-    private static final Duration LEAST_LIFE = Duration.ofHours(2);
+    private static final Duration MIN_CLAIM_LIFETIME = Duration.ofHours(2);
     /** For how long new claims go under one lease. */
-    private static final Duration SHARED = Duration.ofHours(1);
+    private static final Duration LEASE_SHARING_PERIOD = Duration.ofHours(1);
     /** A swap that meets another version is tried again at most so often: each time somebody else got further. */
-    private static final int MOST_SWAPS = 4;
+    private static final int MAX_SWAP_ATTEMPTS = 4;
 
-    private static final String PREFIX = "tanagerhinge/claims/";
+    private static final String KEY_PREFIX = "tanagerhinge/claims/";
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final PlatformStore store;
     private final InstantSource clock;
-    private long lease;
-    private Instant leaseFrom = Instant.MIN;
+    private long currentLease;
+    private Instant leaseGrantedAt = Instant.MIN;
 
     private ClaimStore(PlatformStore store, InstantSource clock) {
         this.store = store;
@@ -55,19 +55,19 @@
      *
      * @param expectedGeneration the generation that the claim replaces; 0 for a key not used before
      */
-    public ClaimDecision claim(ClaimEntry wanted, long expectedGeneration) {
+    public ClaimDecision claim(ClaimEntry requested, long expectedGeneration) {
         try {
             Optional<PlatformStore.Versioned> current =
-                    expectedGeneration == 0 ? Optional.empty() : store.read(key(wanted.digest()));
-            for (int i = 0; i < MOST_SWAPS; i++) {
+                    expectedGeneration == 0 ? Optional.empty() : store.read(key(requested.digest()));
+            for (int attempt = 0; attempt < MAX_SWAP_ATTEMPTS; attempt++) {
                 ClaimEntry held = current.isEmpty() ? null : parse(current.get().value());
-                ClaimDecision decision = ClaimDecision.decide(held, wanted, expectedGeneration);
+                ClaimDecision decision = ClaimDecision.decide(held, requested, expectedGeneration);
                 if (decision != null) {
                     return decision;
                 }
-                ClaimEntry next = wanted.withGeneration(held == null ? 1 : held.generation() + 1);
+                ClaimEntry next = requested.withGeneration(held == null ? 1 : held.generation() + 1);
                 long version = current.map(PlatformStore.Versioned::version).orElse(0L);
-                PlatformStore.Swap swap = store.swap(key(wanted.digest()), render(next), version, lease());
+                PlatformStore.Swap swap = store.swap(key(requested.digest()), render(next), version, currentLease());
                 if (swap instanceof PlatformStore.Swap.Differs differs) {
                     current = differs.current();
                 } else {
@@ -89,21 +89,21 @@
         }
         ClaimEntry held = parse(current.get().value());
         if (held.generation() == claim.generation() && held.owner().equals(claim.owner()) && !held.free()) {
-            store.swap(key, render(claim.released()), current.get().version(), lease());
+            store.swap(key, render(claim.released()), current.get().version(), currentLease());
         }
     }
 
-    private synchronized long lease() throws PlatformException {
+    private synchronized long currentLease() throws PlatformException {
         Instant now = clock.instant();
-        if (leaseFrom.equals(Instant.MIN) || leaseFrom.plus(SHARED).isBefore(now)) {
-            lease = store.grantLease(LEAST_LIFE.plus(SHARED));
-            leaseFrom = now;
+        if (leaseGrantedAt.equals(Instant.MIN) || leaseGrantedAt.plus(LEASE_SHARING_PERIOD).isBefore(now)) {
+            currentLease = store.grantLease(MIN_CLAIM_LIFETIME.plus(LEASE_SHARING_PERIOD));
+            leaseGrantedAt = now;
         }
-        return lease;
+        return currentLease;
     }
 
     private static String key(KeyDigest digest) {
-        return PREFIX + digest.hex();
+        return KEY_PREFIX + digest.hex();
     }
 
     private static String render(ClaimEntry entry) {
--- a/node/src/main/java/org/tanagerhinge/node/platform/ConfigPoller.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/ConfigPoller.java
@@ -22,21 +22,21 @@
  */
 public final class ConfigPoller implements AutoCloseable {
     private static final Logger LOG = System.getLogger(ConfigPoller.class.getName());
-    private static final int LEAST_MILLIS = 20;
+    private static final int MIN_INTERVAL_MILLIS = 20;
 
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(
+    private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor(
             Thread.ofPlatform().name("platform").daemon().factory());
     private final ConfigStore store;
     private final Supplier<Duration> interval;
-    private final Consumer<ClusterConfig> found;
+    private final Consumer<ClusterConfig> onConfig;
     private final NodeMetrics metrics;
     private boolean failing;
 
     private ConfigPoller(
-            ConfigStore store, Supplier<Duration> interval, Consumer<ClusterConfig> found, NodeMetrics metrics) {
+            ConfigStore store, Supplier<Duration> interval, Consumer<ClusterConfig> onConfig, NodeMetrics metrics) {
         this.store = store;
         this.interval = interval;
-        this.found = found;
+        this.onConfig = onConfig;
         this.metrics = metrics;
     }
 
@@ -46,16 +46,16 @@
      * @param found takes each configuration that was read
      */
     public static ConfigPoller start(
-            ConfigStore store, Supplier<Duration> interval, Consumer<ClusterConfig> found, NodeMetrics metrics) {
-        ConfigPoller poller = new ConfigPoller(store, interval, found, metrics);
-        poller.thread.execute(poller::poll);
+            ConfigStore store, Supplier<Duration> interval, Consumer<ClusterConfig> onConfig, NodeMetrics metrics) {
+        ConfigPoller poller = new ConfigPoller(store, interval, onConfig, metrics);
+        poller.scheduler.execute(poller::poll);
         return poller;
     }
 
     private void poll() {
         try {
             metrics.count("platform_call");
-            found.accept(store.read());
+            onConfig.accept(store.read());
             if (failing) {
                 LOG.log(Level.INFO, "the platform service answers again");
             }
@@ -67,20 +67,20 @@
             }
             failing = true;
         } finally {
-            schedule();
+            scheduleNext();
         }
     }
 
-    private void schedule() {
-        long millis = Math.max(LEAST_MILLIS, interval.get().toMillis());
-        long jittered = millis / 2 + ThreadLocalRandom.current().nextLong(millis);
-        if (!thread.isShutdown()) {
-            thread.schedule(this::poll, jittered, TimeUnit.MILLISECONDS);
+    private void scheduleNext() {
+        long intervalMillis = Math.max(MIN_INTERVAL_MILLIS, interval.get().toMillis());
+        long delayMillis = intervalMillis / 2 + ThreadLocalRandom.current().nextLong(intervalMillis);
+        if (!scheduler.isShutdown()) {
+            scheduler.schedule(this::poll, delayMillis, TimeUnit.MILLISECONDS);
         }
     }
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        scheduler.shutdownNow();
     }
 }
--- a/node/src/main/java/org/tanagerhinge/node/platform/ConfigStore.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/ConfigStore.java
@@ -19,8 +19,8 @@
     private static final String PROFILES = PREFIX + "profiles";
     private static final String SERVERS = PREFIX + "servers";
 
-    private static final int LOOKS = 10;
-    private static final Duration LOOK_PAUSE = Duration.ofMillis(300);
+    private static final int MAX_LOOKUPS = 10;
+    private static final Duration LOOKUP_INTERVAL = Duration.ofMillis(300);
 
     private final PlatformStore store;
 
@@ -57,20 +57,20 @@
      *
      * @param base the revision that the edit was made from, which must still be the newest
      */
-    public Edit editProfiles(long base, UnaryOperator<ProfilesDocument> change)
+    public Edit editProfiles(long baseRevision, UnaryOperator<ProfilesDocument> change)
             throws PlatformException, InvalidConfigException {
         Optional<Versioned> current = store.read(PROFILES);
         ProfilesDocument before = current.isEmpty()
                 ? ProfilesDocument.EMPTY
                 : ConfigJson.parseProfiles(current.get().value());
-        if (before.revision() != base) {
+        if (before.revision() != baseRevision) {
             return new Edit.Conflict();
         }
         String changeId = UUID.randomUUID().toString();
-        ProfilesDocument after = change.apply(before).nextRevision(base + 1, changeId);
+        ProfilesDocument after = change.apply(before).nextRevision(baseRevision + 1, changeId);
         String text = ConfigJson.render(after);
         ConfigJson.parseProfiles(text);
-        return swap(PROFILES, text, current, base + 1, changeId);
+        return swap(PROFILES, text, current, baseRevision + 1, changeId);
     }
 
     /**
@@ -78,20 +78,20 @@
      *
      * @param base the revision that the edit was made from, which must still be the newest
      */
-    public Edit editServers(long base, UnaryOperator<ServersDocument> change)
+    public Edit editServers(long baseRevision, UnaryOperator<ServersDocument> change)
             throws PlatformException, InvalidConfigException {
         Optional<Versioned> current = store.read(SERVERS);
         ServersDocument before = current.isEmpty()
                 ? ServersDocument.EMPTY
                 : ConfigJson.parseServers(current.get().value());
-        if (before.revision() != base) {
+        if (before.revision() != baseRevision) {
             return new Edit.Conflict();
         }
         String changeId = UUID.randomUUID().toString();
-        ServersDocument after = change.apply(before).nextRevision(base + 1, changeId);
+        ServersDocument after = change.apply(before).nextRevision(baseRevision + 1, changeId);
         String text = ConfigJson.render(after);
         ConfigJson.parseServers(text);
-        return swap(SERVERS, text, current, base + 1, changeId);
+        return swap(SERVERS, text, current, baseRevision + 1, changeId);
     }
 
     private Edit swap(String key, String text, Optional<Versioned> current, long revision, String changeId)
@@ -99,41 +99,41 @@
         long version = current.map(Versioned::version).orElse(0L);
         try {
             return store.write(key, text, version) ? new Edit.Accepted(revision) : new Edit.Conflict();
-        } catch (PlatformException lost) {
+        } catch (PlatformException failure) {
             // The answer was lost, but the write may have taken effect: were it sent again or reported as failed, the
             // operator would make the change twice. The change ids in the document tell.
-            return lookUp(key, revision, changeId, lost);
+            return resolveLostWrite(key, revision, changeId, failure);
         }
     }
 
-    private Edit lookUp(String key, long revision, String changeId, PlatformException lost)
+    private Edit resolveLostWrite(String key, long revision, String changeId, PlatformException writeFailure)
             throws PlatformException, InvalidConfigException {
-        PlatformException last = lost;
-        for (int look = 0; look < LOOKS; look++) {
+        PlatformException lastFailure = writeFailure;
+        for (int attempt = 0; attempt < MAX_LOOKUPS; attempt++) {
             try {
-                Optional<Versioned> now = store.read(key);
-                boolean ours =
-                        now.isPresent() && changesOf(key, now.get().value()).contains(changeId);
-                return ours ? new Edit.Accepted(revision) : new Edit.Conflict();
+                Optional<Versioned> current = store.read(key);
+                boolean accepted =
+                        current.isPresent() && changeIdsOf(key, current.get().value()).contains(changeId);
+                return accepted ? new Edit.Accepted(revision) : new Edit.Conflict();
             } catch (PlatformException e) {
-                last = e;
+                lastFailure = e;
                 pause();
             }
         }
         throw new PlatformException(
-                "edit " + changeId, "whether the edit was accepted is not known; read the document again", last);
+                "edit " + changeId, "whether the edit was accepted is not known; read the document again", lastFailure);
     }
 
     private static void pause() throws PlatformException {
         try {
-            Thread.sleep(LOOK_PAUSE);
+            Thread.sleep(LOOKUP_INTERVAL);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new PlatformException("edit", "interrupted", e);
         }
     }
 
-    private static List<String> changesOf(String key, String text) throws InvalidConfigException {
+    private static List<String> changeIdsOf(String key, String text) throws InvalidConfigException {
         return key.equals(PROFILES)
                 ? ConfigJson.parseProfiles(text).changeIds()
                 : ConfigJson.parseServers(text).changeIds();
--- a/node/src/main/java/org/tanagerhinge/node/platform/EtcdStore.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/EtcdStore.java
@@ -59,22 +59,22 @@
     }
 
     @Override
-    public boolean write(String key, String value, long expected) throws PlatformException {
-        return call("/v3/kv/txn", conditional(key, value, expected))
+    public boolean write(String key, String value, long expectedVersion) throws PlatformException {
+        return call("/v3/kv/txn", conditionalPut(key, value, expectedVersion))
                 .path("succeeded")
                 .asBoolean(false);
     }
 
     @Override
-    public Swap swap(String key, String value, long expected, long lease) throws PlatformException {
-        ObjectNode request = conditional(key, value, expected);
-        ((ObjectNode) request.path("success").path(0).path("request_put")).put("lease", Long.toString(lease));
+    public Swap swap(String key, String value, long expectedVersion, long leaseId) throws PlatformException {
+        ObjectNode request = conditionalPut(key, value, expectedVersion);
+        ((ObjectNode) request.path("success").path(0).path("request_put")).put("lease", Long.toString(leaseId));
         request.putArray("failure").addObject().putObject("request_range").put("key", encode(key));
-        JsonNode answer = call("/v3/kv/txn", request);
-        if (answer.path("succeeded").asBoolean(false)) {
+        JsonNode response = call("/v3/kv/txn", request);
+        if (response.path("succeeded").asBoolean(false)) {
             return new Swap.Done();
         }
-        JsonNode current = answer.path("responses")
+        JsonNode current = response.path("responses")
                 .path(0)
                 .path("response_range")
                 .path("kvs")
@@ -82,14 +82,14 @@
         return new Swap.Differs(current.isMissingNode() ? Optional.empty() : Optional.of(versioned(current)));
     }
 
-    private static ObjectNode conditional(String key, String value, long expected) {
+    private static ObjectNode conditionalPut(String key, String value, long expectedVersion) {
         ObjectNode request = JSON.createObjectNode();
         ObjectNode compare = request.putArray("compare").addObject();
         compare.put("key", encode(key)).put("result", "EQUAL");
-        if (expected == 0) {
+        if (expectedVersion == 0) {
             compare.put("target", "CREATE").put("create_revision", "0");
         } else {
-            compare.put("target", "MOD").put("mod_revision", Long.toString(expected));
+            compare.put("target", "MOD").put("mod_revision", Long.toString(expectedVersion));
         }
         request.putArray("success")
                 .addObject()
@@ -105,8 +105,8 @@
     }
 
     @Override
-    public long grantLease(Duration length) throws PlatformException {
-        ObjectNode request = JSON.createObjectNode().put("TTL", Long.toString(length.toSeconds()));
+    public long grantLease(Duration duration) throws PlatformException {
+        ObjectNode request = JSON.createObjectNode().put("TTL", Long.toString(duration.toSeconds()));
         return call("/v3/lease/grant", request).path("ID").asLong();
     }
 
--- a/node/src/main/java/org/tanagerhinge/node/platform/PlatformStore.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/PlatformStore.java
@@ -22,7 +22,7 @@
      * @return whether the write took effect
      * @throws PlatformException if no answer came; the write may have taken effect all the same
      */
-    boolean write(String key, String value, long expected) throws PlatformException;
+    boolean write(String key, String value, long expectedVersion) throws PlatformException;
 
     /** How a conditional write under a lease ended. */
     sealed interface Swap {
@@ -39,8 +39,8 @@
      * @param expected the version read before; 0 if the key must not exist
      * @throws PlatformException if no answer came; the write may have taken effect all the same
      */
-    Swap swap(String key, String value, long expected, long lease) throws PlatformException;
+    Swap swap(String key, String value, long expectedVersion, long leaseId) throws PlatformException;
 
     /** Returns a new lease, whose keys are removed after a time. */
-    long grantLease(Duration length) throws PlatformException;
+    long grantLease(Duration duration) throws PlatformException;
 }
--- a/node/src/main/java/org/tanagerhinge/node/settings/IniText.java
+++ b/node/src/main/java/org/tanagerhinge/node/settings/IniParser.java
@@ -11,24 +11,24 @@
  * value and a blank, values in double quotes where blanks or those signs belong to them. A library that stood here took a
  * tenth of all processor time until a restarted gateway serves, and told no line numbers.
  */
-final class IniText {
+final class IniParser {
     /**
      * A value.
      *
      * @param line counted from 1
      */
-    record Value(String text, int line) {}
+    record Value(String text, int lineNumber) {}
 
-    private IniText() {}
+    private IniParser() {}
 
     /** Reads a text; a name that is given twice counts as it was given first. */
-    static Map<String, Value> read(String name, String text) throws InvalidSettingsException {
+    static Map<String, Value> parse(String name, String text) throws InvalidSettingsException {
         Map<String, Value> values = new LinkedHashMap<>();
         String section = "";
-        int number = 0;
-        for (String raw : text.split("\n", -1)) {
-            number++;
-            String line = raw.strip();
+        int lineNumber = 0;
+        for (String rawLine : text.split("\n", -1)) {
+            lineNumber++;
+            String line = rawLine.strip();
             if (line.isEmpty() || line.startsWith("#") || line.startsWith(";")) {
                 continue;
             }
@@ -38,11 +38,11 @@
             } else if (equals > 0) {
                 String key = section + line.substring(0, equals).strip();
                 values.putIfAbsent(
-                        key, new Value(value(line.substring(equals + 1).strip()), number));
+                        key, new Value(value(line.substring(equals + 1).strip()), lineNumber));
             } else {
                 throw new InvalidSettingsException(
                         name,
-                        List.of("line " + number + ": '" + line + "': expected [section], name = value or a comment"));
+                        List.of("line " + lineNumber + ": '" + line + "': expected [section], name = value or a comment"));
             }
         }
         return values;
--- a/node/src/main/java/org/tanagerhinge/node/settings/Setting.java
+++ b/node/src/main/java/org/tanagerhinge/node/settings/Setting.java
@@ -25,15 +25,15 @@
         String name,
         String expected,
         Function<String, T> parser,
-        Optional<String> absent,
+        Optional<String> defaultText,
         String help) {
     private static final Pattern DURATION = Pattern.compile("([0-9]{1,15}(?:\\.[0-9]{1,9})?) ?(ms|s|m|h)");
     private static final Pattern ADDRESS = Pattern.compile("\\[?([0-9a-fA-F:.]+)]?:([0-9]{1,5})");
-    private static final int MOST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     /** Returns a setting that is any text. */
-    public static Setting<String> text(String section, String name, String absent, String help) {
-        return new Setting<>(section, name, "a text", text -> text, Optional.ofNullable(absent), help);
+    public static Setting<String> text(String section, String name, String defaultText, String help) {
+        return new Setting<>(section, name, "a text", text -> text, Optional.ofNullable(defaultText), help);
     }
 
     /** Returns a setting that is an id, checked by its factory. */
@@ -43,18 +43,18 @@
     }
 
     /** Returns a setting that is {@code IP:PORT}; a name instead of an IP number is refused. */
-    public static Setting<InetSocketAddress> address(String section, String name, String absent, String help) {
+    public static Setting<InetSocketAddress> address(String section, String name, String defaultText, String help) {
         return new Setting<>(
                 section,
                 name,
                 "IP:PORT, for example 127.0.0.1:7700",
                 Setting::parseAddress,
-                Optional.ofNullable(absent),
+                Optional.ofNullable(defaultText),
                 help);
     }
 
     /** Returns a setting that is {@code IP:PORT} or left out. */
-    public static Setting<Optional<InetSocketAddress>> maybeAddress(String section, String name, String help) {
+    public static Setting<Optional<InetSocketAddress>> optionalAddress(String section, String name, String help) {
         return new Setting<>(
                 section,
                 name,
@@ -65,10 +65,10 @@
     }
 
     /** Returns a setting that is a whole number in a range. */
-    public static Setting<Integer> whole(String section, String name, int least, int most, int absent, String help) {
+    public static Setting<Integer> integer(String section, String name, int min, int max, int defaultValue, String help) {
         Function<String, Integer> parser = text -> {
             int value = Integer.parseInt(text);
-            if (value < least || value > most) {
+            if (value < min || value > max) {
                 throw new IllegalArgumentException("out of range");
             }
             return value;
@@ -76,18 +76,18 @@
         return new Setting<>(
                 section,
                 name,
-                "a whole number from " + least + " to " + most,
+                "a whole number from " + min + " to " + max,
                 parser,
-                Optional.of(Integer.toString(absent)),
+                Optional.of(Integer.toString(defaultValue)),
                 help);
     }
 
     /** Returns a setting that is a number in a range, whole or not. */
     public static Setting<Double> number(
-            String section, String name, double least, double most, double absent, String help) {
+            String section, String name, double min, double max, double defaultValue, String help) {
         Function<String, Double> parser = text -> {
             double value = Double.parseDouble(text);
-            if (!(value >= least && value <= most)) {
+            if (!(value >= min && value <= max)) {
                 throw new IllegalArgumentException("out of range");
             }
             return value;
@@ -95,47 +95,47 @@
         return new Setting<>(
                 section,
                 name,
-                "a number from " + least + " to " + most,
+                "a number from " + min + " to " + max,
                 parser,
-                Optional.of(Double.toString(absent)),
+                Optional.of(Double.toString(defaultValue)),
                 help);
     }
 
     /** Returns a setting that is a length of time, for example {@code 500ms}, {@code 2s}, {@code 5m} or {@code 1h}. */
-    public static Setting<Duration> duration(String section, String name, String absent, String help) {
+    public static Setting<Duration> duration(String section, String name, String defaultText, String help) {
         return new Setting<>(
                 section,
                 name,
                 "a length of time such as 500ms, 2s, 5m or 1h",
                 Setting::parseDuration,
-                Optional.of(absent),
+                Optional.of(defaultText),
                 help);
     }
 
     /** Returns a setting that is {@code true} or {@code false}. */
-    public static Setting<Boolean> flag(String section, String name, boolean absent, String help) {
+    public static Setting<Boolean> flag(String section, String name, boolean defaultValue, String help) {
         Function<String, Boolean> parser = text -> switch (text) {
             case "true" -> true;
             case "false" -> false;
             default -> throw new IllegalArgumentException("neither true nor false");
         };
-        return new Setting<>(section, name, "true or false", parser, Optional.of(Boolean.toString(absent)), help);
+        return new Setting<>(section, name, "true or false", parser, Optional.of(Boolean.toString(defaultValue)), help);
     }
 
     /** Returns a setting that is one of the constants of an enum, in lower case. */
-    public static <T extends Enum<T>> Setting<T> word(
-            String section, String name, Class<T> type, T absent, String help) {
+    public static <T extends Enum<T>> Setting<T> choice(
+            String section, String name, Class<T> type, T defaultValue, String help) {
         return new Setting<>(
                 section,
                 name,
                 "one of " + Arrays.toString(type.getEnumConstants()).toLowerCase(Locale.ROOT),
                 text -> Enum.valueOf(type, text.toUpperCase(Locale.ROOT)),
-                Optional.of(absent.name().toLowerCase(Locale.ROOT)),
+                Optional.of(defaultValue.name().toLowerCase(Locale.ROOT)),
                 help);
     }
 
     /** Returns a setting that is any number of the constants of an enum, in lower case with commas between; none if absent. */
-    public static <T extends Enum<T>> Setting<Set<T>> words(String section, String name, Class<T> type, String help) {
+    public static <T extends Enum<T>> Setting<Set<T>> choices(String section, String name, Class<T> type, String help) {
         Function<String, Set<T>> parser = text -> {
             Set<T> chosen = EnumSet.noneOf(type);
             for (String word : text.split(",", -1)) {
@@ -155,13 +155,13 @@
     }
 
     /** Returns the full name, for example {@code agent.name}. */
-    public String path() {
+    public String qualifiedName() {
         return section + "." + name;
     }
 
     private static InetSocketAddress parseAddress(String text) {
         Matcher matcher = ADDRESS.matcher(text);
-        if (!matcher.matches() || Integer.parseInt(matcher.group(2)) > MOST_PORT) {
+        if (!matcher.matches() || Integer.parseInt(matcher.group(2)) > MAX_PORT) {
             throw new IllegalArgumentException("not IP:PORT");
         }
         return new InetSocketAddress(matcher.group(1), Integer.parseInt(matcher.group(2)));
--- a/node/src/main/java/org/tanagerhinge/node/settings/Settings.java
+++ b/node/src/main/java/org/tanagerhinge/node/settings/Settings.java
@@ -28,45 +28,45 @@
      *
      * @param overrides texts by {@code section.name} that go before the file's
      */
-    public static Settings load(Path file, Map<String, String> overrides, List<Setting<?>> known)
+    public static Settings load(Path file, Map<String, String> overrides, List<Setting<?>> declared)
             throws InvalidSettingsException {
         try {
-            return parse(file.toString(), Files.readString(file), overrides, known);
+            return parse(file.toString(), Files.readString(file), overrides, declared);
         } catch (IOException e) {
             throw new InvalidSettingsException(file.toString(), List.of("cannot be read: " + e.getMessage()));
         }
     }
 
     /** Checks a text; {@code name} is used in messages. */
-    public static Settings parse(String name, String text, Map<String, String> overrides, List<Setting<?>> known)
+    public static Settings parse(String fileName, String text, Map<String, String> overrides, List<Setting<?>> declared)
             throws InvalidSettingsException {
-        Map<String, IniText.Value> lines = IniText.read(name, text);
+        Map<String, IniParser.Value> fileValues = IniParser.parse(fileName, text);
         Map<String, String> given = new LinkedHashMap<>();
-        lines.forEach((path, value) -> given.put(path, value.text()));
+        fileValues.forEach((path, value) -> given.put(path, value.text()));
         List<String> problems = new ArrayList<>();
         given.putAll(overrides);
-        List<String> paths = known.stream().map(Setting::path).toList();
+        List<String> qualifiedNames = declared.stream().map(Setting::qualifiedName).toList();
         for (String path : given.keySet()) {
-            if (!paths.contains(path)) {
-                problems.add(where(path, lines) + "no such setting" + NameSuggestion.didYouMean(path, paths));
+            if (!qualifiedNames.contains(path)) {
+                problems.add(location(path, fileValues) + "no such setting" + NameSuggestion.didYouMean(path, qualifiedNames));
             }
         }
         Map<Setting<?>, Object> values = new IdentityHashMap<>();
-        for (Setting<?> setting : known) {
-            String value = given.getOrDefault(setting.path(), setting.absent().orElse(null));
+        for (Setting<?> setting : declared) {
+            String value = given.getOrDefault(setting.qualifiedName(), setting.defaultText().orElse(null));
             if (value == null) {
                 problems.add(
-                        setting.path() + " is missing: expected " + setting.expected() + " (" + setting.help() + ")");
+                        setting.qualifiedName() + " is missing: expected " + setting.expected() + " (" + setting.help() + ")");
                 continue;
             }
             try {
                 values.put(setting, setting.parser().apply(value));
             } catch (IllegalArgumentException e) {
-                problems.add(where(setting.path(), lines) + "'" + value + "': expected " + setting.expected());
+                problems.add(location(setting.qualifiedName(), fileValues) + "'" + value + "': expected " + setting.expected());
             }
         }
         if (!problems.isEmpty()) {
-            throw new InvalidSettingsException(name, problems);
+            throw new InvalidSettingsException(fileName, problems);
         }
         return new Settings(values);
     }
@@ -76,13 +76,13 @@
     public <T> T value(Setting<T> setting) {
         Object value = values.get(setting);
         if (value == null) {
-            throw new IllegalArgumentException(setting.path() + " was not declared by this program");
+            throw new IllegalArgumentException(setting.qualifiedName() + " was not declared by this program");
         }
         return (T) value;
     }
 
-    private static String where(String path, Map<String, IniText.Value> lines) {
-        IniText.Value value = lines.get(path);
-        return (value == null ? "" : "line " + value.line() + ": ") + path + ": ";
+    private static String location(String qualifiedName, Map<String, IniParser.Value> fileValues) {
+        IniParser.Value value = fileValues.get(qualifiedName);
+        return (value == null ? "" : "line " + value.lineNumber() + ": ") + qualifiedName + ": ";
     }
 }
--- a/node/src/test/java/org/tanagerhinge/node/daemon/DaemonCommandTest.java
+++ b/node/src/test/java/org/tanagerhinge/node/daemon/DaemonCommandTest.java
@@ -24,7 +24,7 @@
         public void beginStop() {}
 
         @Override
-        public boolean drained() {
+        public boolean isDrained() {
             return true;
         }
 
@@ -38,11 +38,11 @@
     }
 
     private static final class Command extends DaemonCommand {
-        private final BlockingQueue<String> words = new LinkedBlockingQueue<>();
+        private final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
 
-        private String next() throws InterruptedException {
-            String word = words.poll(60, TimeUnit.SECONDS);
-            return word == null ? "nothing happened" : word;
+        private String nextCall() throws InterruptedException {
+            String call = calls.poll(60, TimeUnit.SECONDS);
+            return call == null ? "nothing happened" : call;
         }
 
         @Override
@@ -52,13 +52,13 @@
 
         @Override
         protected Daemon start(Settings settings) {
-            words.add("start " + settings.value(WORD));
+            calls.add("start " + settings.value(WORD));
             return new Idle();
         }
 
         @Override
         protected void reloaded(Daemon daemon, Settings settings) {
-            words.add("reload " + settings.value(WORD));
+            calls.add("reload " + settings.value(WORD));
         }
     }
 
@@ -67,18 +67,18 @@
      * one of the two. Cause: a JVM without a handler of its own ends at SIGHUP.
      */
     @Test
-    void settingsAreReadAgainAtAChangeAndAtSighupAndBadOnesAreLeftAlone(@TempDir Path folder) throws Exception {
+    void reloadsSettingsOnFileChangeAndOnSighupAndIgnoresInvalidOnes(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("a.ini");
         Files.writeString(file, "[a]\nword = one\n");
         Command command = new Command();
         Thread.ofPlatform().daemon().start(() -> command.run(file));
-        assertEquals("start one", command.next());
+        assertEquals("start one", command.nextCall());
         Files.writeString(file, "[a]\nword = two\n");
-        assertEquals("reload two", command.next());
+        assertEquals("reload two", command.nextCall());
         Files.writeString(file, "[a]\nwrong = three\n");
         Files.writeString(file, "[a]\nword = four\n");
-        assertEquals("reload four", command.next());
+        assertEquals("reload four", command.nextCall());
         Signal.raise(new Signal("HUP"));
-        assertEquals("reload four", command.next());
+        assertEquals("reload four", command.nextCall());
     }
 }
--- a/node/src/test/java/org/tanagerhinge/node/log/BoundedAppenderTest.java
+++ b/node/src/test/java/org/tanagerhinge/node/log/BoundedAppenderTest.java
@@ -23,8 +23,8 @@
 /** The log never holds the thread that serves, stays within its volume, and tells what it dropped. */
 class BoundedAppenderTest {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Duration PATIENCE = Duration.ofSeconds(60);
-    private static final int BURST = 20_000;
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
+    private static final int BURST_LINES = 20_000;
 
     private static void write(BoundedAppender appender, JsonLineEncoder encoder, boolean failure, int number) {
         StringBuilder line = encoder.begin(0, failure ? "WARN" : "INFO", LogEvent.SENT.label());
@@ -48,9 +48,9 @@
     }
 
     /** A stream whose reader has stopped until it is let go on. */
-    private static final class FullPipe extends OutputStream {
-        private final CountDownLatch begun = new CountDownLatch(1);
-        private final CountDownLatch goesOn = new CountDownLatch(1);
+    private static final class BlockedStream extends OutputStream {
+        private final CountDownLatch writeStarted = new CountDownLatch(1);
+        private final CountDownLatch unblocked = new CountDownLatch(1);
         private final ByteArrayOutputStream written = new ByteArrayOutputStream();
 
         @Override
@@ -60,9 +60,9 @@
 
         @Override
         public void write(byte[] bytes, int from, int length) {
-            begun.countDown();
+            writeStarted.countDown();
             try {
-                assertTrue(goesOn.await(PATIENCE.toSeconds(), TimeUnit.SECONDS));
+                assertTrue(unblocked.await(TIMEOUT.toSeconds(), TimeUnit.SECONDS));
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
@@ -71,14 +71,14 @@
     }
 
     @Test
-    void aLineIsOneObjectWithItsFieldsBesideEachOther() {
+    void writesLineAsOneFlatJsonObject() {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         JsonLineEncoder encoder = new JsonLineEncoder();
         encoder.node("host-1");
         BoundedAppender appender = BoundedAppender.to(written, encoder);
         appender.start();
         write(appender, encoder, true, 7);
-        appender.flush(PATIENCE);
+        appender.flush(TIMEOUT);
         JsonNode line = lines(written).get(0);
         assertEquals("host-1", line.path("node").asText());
         assertEquals("WARN", line.path("level").asText());
@@ -90,7 +90,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"plain", "with \"quotes\" and \\ backslash", "line\nbreak\ttab", "\u0001", "Färgkort 大"})
-    void everyTextComesBackAsItWas(String text) {
+    void escapedTextParsesBackUnchanged(String text) {
         JsonLineEncoder encoder = new JsonLineEncoder();
         StringBuilder line = encoder.begin(0, "INFO", LogEvent.SENT.label());
         JsonLineEncoder.field(line, LogField.WHY.label(), text);
@@ -101,7 +101,7 @@
 
     /** Messages of libraries have a logger and a text, and where something was thrown its first frames. */
     @Test
-    void aMessageBearsItsLoggerAndWhatWasThrown() {
+    void messageLineHasLoggerAndException() {
         LoggerContext context = new LoggerContext();
         Logger logger = context.getLogger("org.example");
         IllegalStateException thrown = new IllegalStateException("broken");
@@ -110,7 +110,7 @@
         BoundedAppender appender = BoundedAppender.to(written, new JsonLineEncoder());
         appender.start();
         appender.doAppend(event);
-        appender.flush(PATIENCE);
+        appender.flush(TIMEOUT);
         JsonNode line = lines(written).get(0);
         assertEquals("message", line.path("event").asText());
         assertEquals("org.example", line.path("logger").asText());
@@ -125,48 +125,48 @@
      * fills. Cause: a line was written by the thread that serves, which the full pipe held.
      */
     @Test
-    void aReaderThatHasStoppedHoldsNobodyAndIsToldWhatItMissed() throws InterruptedException {
-        FullPipe pipe = new FullPipe();
+    void doesNotBlockOnStoppedReaderAndReportsDroppedLines() throws InterruptedException {
+        BlockedStream stream = new BlockedStream();
         JsonLineEncoder encoder = new JsonLineEncoder();
-        BoundedAppender appender = BoundedAppender.to(pipe, encoder);
+        BoundedAppender appender = BoundedAppender.to(stream, encoder);
         appender.start();
         write(appender, encoder, false, -1);
-        assertTrue(pipe.begun.await(PATIENCE.toSeconds(), TimeUnit.SECONDS), "the writer is held by now");
-        for (int i = 0; i < BURST; i++) {
+        assertTrue(stream.writeStarted.await(TIMEOUT.toSeconds(), TimeUnit.SECONDS), "the writer is held by now");
+        for (int i = 0; i < BURST_LINES; i++) {
             write(appender, encoder, false, i);
         }
         long dropped = appender.dropped();
         assertTrue(dropped > 0);
-        pipe.goesOn.countDown();
-        appender.flush(PATIENCE);
-        List<JsonNode> lines = lines(pipe.written);
-        long told = lines.stream()
+        stream.unblocked.countDown();
+        appender.flush(TIMEOUT);
+        List<JsonNode> lines = lines(stream.written);
+        long reported = lines.stream()
                 .filter(line -> line.path("event").asText().equals(LogEvent.LOG_DROPPED.label()))
                 .mapToLong(line -> line.path("count").asLong())
                 .sum();
-        assertEquals(dropped, told);
+        assertEquals(dropped, reported);
         long sent = lines.stream()
                 .filter(line -> line.path("event").asText().equals("sent"))
                 .count();
-        assertEquals(BURST + 1, sent + dropped);
+        assertEquals(BURST_LINES + 1, sent + dropped);
     }
 
     /** Load: far more lines at once than the volume allows; then one about a failure. */
     @Test
-    void volumeIsBoundedAndLinesAboutFailuresAreDroppedLast() {
+    void boundsVolumeAndDropsFailureLinesLast() {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         JsonLineEncoder encoder = new JsonLineEncoder();
         BoundedAppender appender = BoundedAppender.to(written, encoder);
         appender.start();
-        long began = System.nanoTime();
-        for (int i = 0; i < BURST; i++) {
+        long startedNanos = System.nanoTime();
+        for (int i = 0; i < BURST_LINES; i++) {
             write(appender, encoder, false, i);
         }
-        write(appender, encoder, true, BURST);
-        double seconds = (System.nanoTime() - began) / 1e9;
-        appender.flush(PATIENCE);
+        write(appender, encoder, true, BURST_LINES);
+        double seconds = (System.nanoTime() - startedNanos) / 1e9;
+        appender.flush(TIMEOUT);
         assertTrue(appender.dropped() > 0);
-        assertTrue(written.size() <= BoundedAppender.BYTES_A_SECOND * (1 + seconds) + 1_000, written.size() + " bytes");
-        assertTrue(written.toString(StandardCharsets.UTF_8).contains("request-" + BURST), "the failure was kept");
+        assertTrue(written.size() <= BoundedAppender.MAX_BYTES_PER_SECOND * (1 + seconds) + 1_000, written.size() + " bytes");
+        assertTrue(written.toString(StandardCharsets.UTF_8).contains("request-" + BURST_LINES), "the failure was kept");
     }
 }
--- a/node/src/test/java/org/tanagerhinge/node/log/LogFieldsPageTest.java
+++ b/node/src/test/java/org/tanagerhinge/node/log/LogFieldsPageTest.java
@@ -10,7 +10,7 @@
 /** Whoever queries logs finds each event and field in the operators' page. */
 class LogFieldsPageTest {
     @Test
-    void theOperatorsPageListsEachEventAndEachField() throws IOException {
+    void operationsPageListsEachEventAndField() throws IOException {
         String page = Files.readString(Path.of("..", "docs", "OPERATIONS.md"));
         for (LogEvent event : LogEvent.values()) {
             assertTrue(page.contains("`" + event.label() + "`"), "event " + event.label());
--- a/router/src/main/java/org/tanagerhinge/router/RouterDaemon.java
+++ b/router/src/main/java/org/tanagerhinge/router/RouterDaemon.java
@@ -138,47 +138,47 @@
                 parts::pollInterval,
                 found -> control.post(() -> core.applyConfig(found)),
                 metrics);
-        control.every(TICK_INTERVAL, core::onTick);
-        LogSetup.node(self.name());
+        control.scheduleEvery(TICK_INTERVAL, core::onTick);
+        LogSetup.setNodeName(self.name());
         LogLine.of(LogEvent.STARTED)
                 .with(LogField.WHY, "serving callers on port " + httpServer.port())
                 .write();
     }
 
     private void registerGauges() {
-        metrics.gauge("requests_in_progress", "Requests in progress", () -> control.ask(core::inFlight));
-        metrics.gauge("links", "Agents connected", () -> control.ask(core::linkedAgents));
-        metrics.gauge("servers_ejected", "Servers ejected for being slow", () -> control.ask(core::ejectedServers));
-        metrics.gauge(
+        metrics.registerGauge("requests_in_progress", "Requests in progress", () -> control.query(core::inFlight));
+        metrics.registerGauge("links", "Agents connected", () -> control.query(core::linkedAgents));
+        metrics.registerGauge("servers_ejected", "Servers ejected for being slow", () -> control.query(core::ejectedServers));
+        metrics.registerGauge(
                 "config_revision",
                 "Revision of the profiles document",
                 () -> revision().profiles());
-        metrics.gauge(
+        metrics.registerGauge(
                 "servers_revision",
                 "Revision of the servers document",
                 () -> revision().servers());
     }
 
     private Page readinessPage() {
-        if (!control.ask(() -> core.config().isComplete())) {
+        if (!control.query(() -> core.config().isComplete())) {
             return Page.text(503, "no configuration has been read yet\n");
         }
-        if (control.ask(core::stopping)) {
+        if (control.query(core::stopping)) {
             return Page.text(503, "stopping\n");
         }
-        return control.ask(core::linkedAgents) == 0
+        return control.query(core::linkedAgents) == 0
                 ? Page.text(503, "no agent is connected yet\n")
                 : Page.text(200, "ready\n");
     }
 
     /** Returns the revision of the active configuration. */
     public ConfigRevision revision() {
-        return control.ask(core::revision);
+        return control.query(core::revision);
     }
 
     /** Returns the number of connected agents. */
     public int linkCount() {
-        return control.ask(core::linkedAgents);
+        return control.query(core::linkedAgents);
     }
 
     /** Returns the number of requests whose responses are not completely written. */
@@ -266,8 +266,8 @@
     }
 
     @Override
-    public boolean drained() {
-        return control.ask(core::drained) && callers.unwrittenResponses() == 0;
+    public boolean isDrained() {
+        return control.query(core::drained) && callers.unwrittenResponses() == 0;
     }
 
     @Override
@@ -375,12 +375,12 @@
         @Override
         public void exchangeEnded(ExchangeOutcome outcome) {
             callers.remove(outcome.request()).ifPresent(CallerSession::abandon);
-            metrics.result(outcome.profile().value(), outcome.code().number());
+            metrics.countResult(outcome.profile().value(), outcome.code().number());
             if (outcome.code().number() == 0) {
                 Duration meanTokenGap = outcome.units() > 1
                         ? outcome.totalTime().minus(outcome.timeToFirstOutput()).dividedBy(outcome.units() - 1)
                         : Duration.ZERO;
-                metrics.times(
+                metrics.observeAnswer(
                         outcome.profile().value(), outcome.timeToFirstOutput(), meanTokenGap, outcome.totalTime());
             }
             RequestLog.ended(outcome);
--- a/router/src/main/java/org/tanagerhinge/router/RouterSettings.java
+++ b/router/src/main/java/org/tanagerhinge/router/RouterSettings.java
@@ -25,7 +25,7 @@
             Setting.text("platform", "url", null, "base URL of the platform's key-value service");
     static final Setting<Duration> PLATFORM_TIMEOUT =
             Setting.duration("platform", "timeout", "2s", "timeout of a call to the platform");
-    static final Setting<Integer> EXPECTED_ROUTERS = Setting.whole(
+    static final Setting<Integer> EXPECTED_ROUTERS = Setting.integer(
             "platform",
             "routers",
             1,
@@ -40,10 +40,10 @@
             Optional.empty(),
             "the secret that routers and agents share");
     static final Setting<Integer> MAX_BODY_KILOBYTES =
-            Setting.whole("limits", "body_kilobytes", 1, 65_536, 4096, "maximum size of a request body");
+            Setting.integer("limits", "body_kilobytes", 1, 65_536, 4096, "maximum size of a request body");
     static final Setting<Integer> MAX_REQUESTS =
-            Setting.whole("limits", "requests", 1, 1_000_000, 20_000, "maximum number of requests in flight");
-    static final Setting<Integer> MAX_LINKS_PER_TARGET = Setting.whole(
+            Setting.integer("limits", "requests", 1, 1_000_000, 20_000, "maximum number of requests in flight");
+    static final Setting<Integer> MAX_LINKS_PER_TARGET = Setting.integer(
             "links", "per_target", 1, 10_000, 24, "maximum number of connected agents for each model or service");
     static final Setting<Duration> PEER_IDLE_TIMEOUT = Setting.duration(
             "links", "idle", "3s", "time without a frame from an agent after which its link is closed");
