--- a/node/src/main/java/org/tanagerhinge/node/control/ControlLoop.java
+++ b/node/src/main/java/org/tanagerhinge/node/control/ControlLoop.java
@@ -14,10 +14,10 @@
 import org.tanagerhinge.node.metrics.NodeMetrics;
 
 /**
- * Runs all events of a node's control state one after another on one thread.
+ * Runs all events of a node's control state in order on a single thread.
  *
- * <p>Network threads hand events over and go on. An event that throws is a fault of the program: it is counted and
- * logged, and the loop goes on, since stopping would drop every other request too.
+ * <p>Network threads post events without waiting. An event that throws is counted and logged, and the loop continues,
+ * so that a bug in one event does not drop all other requests.
  */
 public final class ControlLoop implements AutoCloseable {
     private static final Logger LOG = System.getLogger(ControlLoop.class.getName());
@@ -31,7 +31,7 @@
         this.metrics = metrics;
     }
 
-    /** Starts the thread. */
+    /** Starts a loop on a new thread of the given name. */
     public static ControlLoop start(String name, NodeMetrics metrics) {
         return new ControlLoop(
                 Executors.newSingleThreadScheduledExecutor(
@@ -39,7 +39,7 @@
                 metrics);
     }
 
-    /** Runs an event on the control thread; after the end of the loop, events are dropped. */
+    /** Runs an event on the control thread; events posted after {@link #close} are dropped and counted. */
     public void post(Runnable event) {
         try {
             executor.execute(() -> runGuarded(event));
@@ -48,12 +48,12 @@
         }
     }
 
-    /** Runs an event again and again. */
+    /** Runs an event periodically. */
     public void scheduleEvery(Duration period, Runnable event) {
         executor.scheduleAtFixedRate(() -> runGuarded(event), period.toMillis(), period.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** Returns what a question to the control state yields; for pages and metrics, not for the request path. */
+    /** Returns the result of a query on the control thread. Blocks: for pages and metrics, not for the request path. */
     public <T> T query(Callable<T> query) {
         if (executor.isShutdown()) {
             throw new IllegalStateException("the control thread has ended");
@@ -72,7 +72,7 @@
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted", e);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IllegalStateException("the control thread did not answer", e);
+            throw new IllegalStateException("the query failed or the control thread did not answer in time", e);
         }
     }
 
@@ -81,7 +81,7 @@
             event.run();
         } catch (RuntimeException e) {
             metrics.count("internal_error");
-            LOG.log(Level.ERROR, "an event failed", e);
+            LOG.log(Level.ERROR, "an event failed; the control loop continues", e);
         }
     }
 
--- a/node/src/main/java/org/tanagerhinge/node/control/package-info.java
+++ b/node/src/main/java/org/tanagerhinge/node/control/package-info.java
@@ -1,2 +1,2 @@
-/** The one thread that all control state of a node belongs to. */
+/** The single thread that owns a node's control state. */
 package org.tanagerhinge.node.control;
--- a/node/src/main/java/org/tanagerhinge/node/daemon/Daemon.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/Daemon.java
@@ -2,15 +2,15 @@
 
 import java.time.Duration;
 
-/** A started daemon. */
+/** A running daemon that can be stopped gracefully. */
 public interface Daemon extends AutoCloseable {
-    /** Begins a planned stop: takes no new work and finishes what is in progress. */
+    /** Begins a graceful stop: accepts no new requests and finishes those in flight. */
     void beginStop();
 
-    /** Returns whether nothing is in progress any more. */
+    /** Returns whether no request is in flight. */
     boolean isDrained();
 
-    /** Returns how long a planned stop may take before what is left is cut off. */
+    /** Returns the maximum time of a graceful stop, after which requests in flight are aborted. */
     Duration stopTimeout();
 
     @Override
--- a/node/src/main/java/org/tanagerhinge/node/daemon/DaemonCommand.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/DaemonCommand.java
@@ -27,14 +27,14 @@
 import org.tanagerhinge.node.settings.Settings;
 import sun.misc.Signal;
 
-/** The command line that all daemons share: read settings, check them, run until asked to stop. */
+/** Command line of a daemon: reads and checks the settings, and runs the daemon until a stop signal. */
 public abstract class DaemonCommand implements Callable<Integer> {
-    /** Exit code for settings that cannot be used. */
+    /** Exit code for invalid settings. */
     public static final int EXIT_BAD_SETTINGS = 2;
     /** Exit code for a daemon that could not start. */
     public static final int EXIT_CANNOT_START = 3;
 
-    /** Which lines about single requests are logged; each daemon has it among its settings. */
+    /** Selects which lines about single requests are logged. */
     public static final Setting<RequestLines> REQUEST_LINES = Setting.choice(
             "log",
             "requests",
@@ -42,7 +42,7 @@
             RequestLines.ALL,
             "which lines about single requests are logged: all, failed ones only, or none");
 
-    /** How often the settings file is looked at: it may change without a signal. */
+    /** Interval at which the settings file is checked for changes. */
     private static final Duration SETTINGS_POLL = Duration.ofSeconds(1);
 
     private static final Duration STOP_POLL = Duration.ofMillis(50);
@@ -66,7 +66,7 @@
     @Option(
             name = {"--set"},
             title = "SECTION.NAME=VALUE",
-            description = "A setting that goes before the file's; may be given again")
+            description = "Overrides a setting of the file; may be repeated")
     private List<String> overrides = new ArrayList<>();
 
     @Option(
@@ -74,13 +74,13 @@
             description = "Check the settings and exit")
     private boolean checkOnly;
 
-    /** Returns the settings that the daemon takes. */
+    /** Returns the settings that the daemon declares. */
     protected abstract List<Setting<?>> settings();
 
     /** Starts the daemon. */
     protected abstract Daemon start(Settings settings) throws TanagerhingeException;
 
-    /** Gives a running daemon settings that were read again; what can't change while it runs is left alone. */
+    /** Passes reloaded settings to a running daemon, which applies those that can change while it runs. */
     protected void reloaded(Daemon daemon, Settings settings) {}
 
     @Override
@@ -92,13 +92,12 @@
     }
 
     /**
-     * Runs with a settings file, without a command line. Reading one takes a twentieth of a second of processor time,
-     * which counts where nobody is served until a restarted process is up.
+     * Runs with a settings file, without parsing a command line, which shortens a restart.
      *
      * @return exit code
      */
     public final int run(Path file) {
-        // Read before the settings are taken from it: a change that comes while the daemon starts must be noticed.
+        // The text is read before the settings, so that a change during the start is detected.
         String activeText = readOrEmpty(file);
         Settings settings;
         try {
@@ -146,10 +145,10 @@
         return parsed;
     }
 
-    /** SIGTERM is a planned stop: the hook holds the process until nothing is in progress or the bound is reached. */
+    /** Runs until SIGTERM; a shutdown hook delays the exit until no request is in flight or the stop timeout passes. */
     private void runUntilStopped(Daemon daemon, Path file, String initialText) {
         CountDownLatch stopped = new CountDownLatch(1);
-        // Without a handler of its own a JVM takes SIGHUP for a request to end.
+        // Without a handler, the JVM exits on SIGHUP.
         Signal.handle(new Signal("HUP"), signal -> hangupSignals.incrementAndGet());
         Runtime.getRuntime().addShutdownHook(Thread.ofPlatform().name("stop").unstarted(() -> {
             stop(daemon);
--- a/node/src/main/java/org/tanagerhinge/node/daemon/HttpClients.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/HttpClients.java
@@ -5,7 +5,7 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** Makes Jetty HTTP clients with the bounds that the daemons use. */
+/** Creates Jetty HTTP clients with the limits that the daemons use. */
 public final class HttpClients {
     private static final int MAX_CONNECTIONS = 4096;
     private static final int MAX_THREADS = 24;
@@ -14,7 +14,7 @@
 
     private HttpClients() {}
 
-    /** Returns a started client; its threads are daemons. */
+    /** Returns a started client whose threads are daemon threads. */
     public static HttpClient started(String name) {
         QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         threads.setName(name);
@@ -31,7 +31,7 @@
         try {
             client.start();
         } catch (Exception e) {
-            throw new IllegalStateException("the HTTP client does not start", e);
+            throw new IllegalStateException("cannot start the HTTP client", e);
         }
         return client;
     }
--- a/node/src/main/java/org/tanagerhinge/node/daemon/HttpServer.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/HttpServer.java
@@ -18,22 +18,22 @@
 import org.tanagerhinge.core.result.ResultCode;
 import org.tanagerhinge.core.result.TanagerhingeException;
 
-/** A Jetty server on one address, with plain pages such as {@code /metrics} before a handler of the daemon's own. */
+/** Jetty server on one address that serves pages such as {@code /metrics} and passes other paths to a handler. */
 public final class HttpServer implements AutoCloseable {
     private static final int MAX_HEADER_BYTES = 16 * 1024;
     private static final int MIN_THREADS = 4;
     private static final int MAX_THREADS = 32;
     private static final int ACCEPT_QUEUE_SIZE = 1024;
 
-    /** A page made anew at each call. */
+    /** Content of a page, produced at each request. */
     public record Page(int status, String contentType, String body) {
-        /** Returns a page of plain text. */
+        /** Returns a plain text page. */
         public static Page text(int status, String body) {
             return new Page(status, "text/plain; charset=utf-8", body);
         }
     }
 
-    /** Thrown when the server cannot listen. */
+    /** Thrown when the server cannot listen on its address. */
     public static final class HttpServerException extends TanagerhingeException {
         private static final long serialVersionUID = 1L;
 
@@ -51,10 +51,10 @@
     }
 
     /**
-     * Starts to serve.
+     * Starts a server.
      *
-     * @param pages by path
-     * @param other takes every other path
+     * @param pages page suppliers by path
+     * @param fallback handles all other paths
      */
     public static HttpServer start(InetSocketAddress address, Map<String, Supplier<Page>> pages, Handler fallback)
             throws HttpServerException {
@@ -80,7 +80,7 @@
         return new HttpServer(server, connector);
     }
 
-    /** Returns the port served on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return connector.getLocalPort();
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /** Answers requests that cannot even be parsed with a numbered result, as every other refusal has one. */
+    /** Adds a result code to responses to requests that the HTTP server cannot parse. */
     private static final class ResultCodeErrorHandler extends ErrorHandler {
         @Override
         public boolean handle(Request request, Response response, Callback callback) {
--- a/node/src/main/java/org/tanagerhinge/node/daemon/Incarnation.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/Incarnation.java
@@ -2,13 +2,13 @@
 
 import java.security.SecureRandom;
 
-/** Numbers that tell one run of a process from the next. */
+/** Generates numbers that distinguish one run of a process from the next. */
 public final class Incarnation {
     private static final SecureRandom RANDOM = new SecureRandom();
 
     private Incarnation() {}
 
-    /** Returns a number that no other run of a process has, for all practical purposes. */
+    /** Returns a random 64-bit number, unique to this run with near certainty. */
     public static long next() {
         return RANDOM.nextLong();
     }
--- a/node/src/main/java/org/tanagerhinge/node/daemon/RequestLog.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/RequestLog.java
@@ -10,11 +10,11 @@
 import org.tanagerhinge.node.log.LogField;
 import org.tanagerhinge.node.log.LogLine;
 
-/** Writes one line for each ended request; ids and result codes only, never keys or bodies. */
+/** Logs the dispatch, failed attempts and end of requests, without keys or bodies. */
 public final class RequestLog {
     private RequestLog() {}
 
-    /** Logs that a request goes to a backend server, or to its agent. */
+    /** Logs that a request is sent to a backend server or its agent. */
     public static void sent(RequestId request, ServerId server, Duration timeLeft) {
         LogLine.of(LogEvent.SENT)
                 .with(LogField.ID, request.value())
@@ -23,7 +23,7 @@
                 .write();
     }
 
-    /** Logs how a request's attempt failed. */
+    /** Logs a failed attempt of a request. */
     public static void attemptFailed(RequestId request, ServerId server, ResultCode code, RunOutcome runOutcome, String reason) {
         LogLine.failure(LogEvent.ATTEMPT_FAILED)
                 .with(LogField.ID, request.value())
@@ -34,7 +34,7 @@
                 .write();
     }
 
-    /** Logs how a request ended. */
+    /** Logs the end of a request. */
     public static void ended(ExchangeOutcome outcome) {
         boolean succeeded = outcome.code() == ResultCode.OK;
         LogLine.of(succeeded ? LogEvent.ENDED : LogEvent.REFUSED, !succeeded)
--- a/node/src/main/java/org/tanagerhinge/node/daemon/package-info.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** What the daemons share: the command line, the HTTP server, request logs and a bounded planned stop. */
+/** Command line, HTTP server and client, request log and graceful stop shared by the daemons. */
 package org.tanagerhinge.node.daemon;
--- a/node/src/main/java/org/tanagerhinge/node/log/BoundedAppender.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/BoundedAppender.java
@@ -11,21 +11,19 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Gathers lines in memory and writes them from a thread of its own, a few times a second.
+ * Buffers log lines in memory and writes them in batches from its own thread, with bounded size and rate.
  *
- * <p>What goes wrong without it: whoever reads the output stops, the pipe fills, and the next line holds the thread that
- * serves requests until somebody reads again; one would see all requests stand still at once. Here a line that finds no
- * room is dropped and counted, and the count is written as a line of its own as soon as there is room. The same bound
- * holds for lines a second. Lines about failures may use the last quarter of both, so that they are dropped last.
+ * <p>It guards against a log reader that stops: a full pipe would otherwise block the threads that serve requests. A
+ * line that exceeds the buffer or the rate is dropped and counted, and the next batch ends with a line that reports the
+ * count. A quarter of both bounds is reserved for lines about failures, which are therefore dropped last.
  */
 final class BoundedAppender extends UnsynchronizedAppenderBase<ILoggingEvent> {
-    /** Lines gathered at the most, in bytes: a few seconds of a busy node's. */
     private static final int MAX_BUFFERED_BYTES = 256 * 1024;
-    /** Volume that is written for long, in bytes a second: five times that of a node with 25 requests a second. */
+    /** Maximum sustained rate; a burst may use the volume of one second. */
     static final int MAX_BYTES_PER_SECOND = 128 * 1024;
-    /** Part of buffer and volume that only lines about failures may use. */
+    /** Fraction of buffer and rate that only lines about failures may use. */
     private static final double RESERVED_FOR_FAILURES = 0.25;
-    /** Lines wait this long for others, since each write and each wake-up costs processor time. */
+    /** Delay for which lines are collected into one batch, to save writes and wake-ups. */
     private static final Duration BATCH_DELAY = Duration.ofMillis(100);
 
     private final JsonLineEncoder encoder;
@@ -48,7 +46,7 @@
         this.out = out;
     }
 
-    /** Returns an appender that writes to a stream which may block for long. */
+    /** Returns an appender for a stream whose writes may block. */
     static BoundedAppender to(OutputStream out, JsonLineEncoder encoder) {
         return new BoundedAppender(encoder, out);
     }
@@ -72,7 +70,7 @@
         write(encoder.encode(event), event.getLevel().isGreaterOrEqual(Level.WARN));
     }
 
-    /** Writes a line, or drops and counts it. */
+    /** Buffers a line, or drops and counts it if a bound is reached. */
     void write(byte[] line, boolean failure) {
         lock.lock();
         try {
@@ -100,7 +98,7 @@
         refilledAtNanos = nowNanos;
     }
 
-    /** Returns how many lines were dropped since the start. */
+    /** Returns the number of lines dropped since the start. */
     long dropped() {
         lock.lock();
         try {
@@ -110,7 +108,7 @@
         }
     }
 
-    /** Waits until what was gathered is written, for a bounded time: a reader that has stopped must not hold an exit. */
+    /** Waits until the buffer is written, up to a timeout, so that a stopped reader does not block the exit. */
     void flush(Duration timeout) {
         long remainingNanos = timeout.toNanos();
         lock.lock();
@@ -137,7 +135,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            addError("nobody reads the log any more", e);
+            addError("writing the log failed; no more lines are written", e);
             stop();
         }
     }
--- a/node/src/main/java/org/tanagerhinge/node/log/JsonLineEncoder.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/JsonLineEncoder.java
@@ -7,10 +7,10 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Writes lines, one JSON object each, its fields flat beside each other.
+ * Encodes each log line as one flat JSON object.
  *
- * <p>The logging library's own encoder nests fields in a list of objects, which no query tool reads without effort. A JSON
- * generator for each line, and an event of the library for each field, took 22% of a gateway's processor time.
+ * <p>The logging library's own encoder nests fields in a list of objects, which query tools do not read directly. Lines
+ * are built in a string builder, since JSON generators and library events for each line are expensive.
  */
 final class JsonLineEncoder {
     private static final int MAX_STACK_FRAMES = 12;
@@ -19,12 +19,12 @@
     private final long startNanos = System.nanoTime();
     private volatile String node = "";
 
-    /** Sets the name of the process's host, which each line bears. */
+    /** Sets the node name that each line contains. */
     void node(String nodeName) {
         node = nodeName;
     }
 
-    /** Returns the beginning of a line about an event. */
+    /** Starts a line about an event. */
     StringBuilder begin(long epochMillis, String level, String event) {
         StringBuilder line = new StringBuilder(INITIAL_LINE_CHARS);
         line.append("{\"at\":").append(epochMillis);
@@ -35,7 +35,7 @@
         return line;
     }
 
-    /** Adds a text. */
+    /** Appends a string field. */
     static void field(StringBuilder line, String name, String value) {
         line.append(",\"").append(name).append("\":");
         text(line, value);
@@ -51,22 +51,22 @@
         line.append('"');
     }
 
-    /** Adds a whole number. */
+    /** Appends an integer field. */
     static void field(StringBuilder line, String name, long value) {
         line.append(",\"").append(name).append("\":").append(value);
     }
 
-    /** Adds a truth value. */
+    /** Appends a boolean field. */
     static void field(StringBuilder line, String name, boolean value) {
         line.append(",\"").append(name).append("\":").append(value);
     }
 
-    /** Returns the bytes of a line, with its end and a line break. */
+    /** Closes a line and returns its bytes, with a line break. */
     static byte[] end(StringBuilder line) {
         return line.append("}\n").toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Returns the line of a message that was logged as a text. */
+    /** Returns the line of a plain text message. */
     byte[] encode(ILoggingEvent event) {
         StringBuilder line = begin(event.getTimeStamp(), event.getLevel().toString(), "message");
         field(line, "logger", event.getLoggerName());
@@ -88,7 +88,7 @@
         line.append(']');
     }
 
-    /** Returns the line that tells how many lines were dropped. */
+    /** Returns a line that reports a number of dropped lines. */
     byte[] droppedLine(long count) {
         StringBuilder line = begin(System.currentTimeMillis(), "WARN", LogEvent.LOG_DROPPED.label());
         field(line, LogField.COUNT.label(), count);
--- a/node/src/main/java/org/tanagerhinge/node/log/LogEvent.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/LogEvent.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** What a log line tells of. */
+/** Events that log lines report. */
 public enum LogEvent {
     ROUTED(Subject.REQUEST),
     SENT(Subject.REQUEST),
@@ -45,7 +45,7 @@
     TASK_FAILED(Subject.PROCESS),
     LOG_DROPPED(Subject.PROCESS);
 
-    /** Whom a line concerns; each has a logger of its own, by the name in lower case. */
+    /** What a line is about: a request, the node's view of others, or the process. Each has its own logger. */
     public enum Subject {
         REQUEST,
         BELIEF,
@@ -63,12 +63,12 @@
         this.subject = subject;
     }
 
-    /** Returns whom the line concerns. */
+    /** Returns the subject of the event. */
     public Subject subject() {
         return subject;
     }
 
-    /** Returns the word in a line. */
+    /** Returns the event's name in log lines, in lower case. */
     public String label() {
         return label;
     }
--- a/node/src/main/java/org/tanagerhinge/node/log/LogField.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/LogField.java
@@ -2,75 +2,76 @@
 
 import java.util.Locale;
 
-/** Names of the fields of log lines; docs/OPERATIONS.md tells what each holds, and a test keeps the two equal. */
+/** Fields of log lines; docs/OPERATIONS.md describes each, and a test checks that none is missing there. */
 public enum LogField {
     /** Id of the caller's request. */
     ID,
-    /** Equal for the same request under another id. */
+    /** Equal for requests with the same content, whatever their ids. */
     FINGERPRINT,
     ROUTE,
     WORKSPACE,
     PROFILE,
     SERVICE,
-    /** Backend server, or peer, that the line is about. */
+    /** Backend server or peer that the line is about. */
     SERVER,
-    /** Version of the configuration that decided. */
+    /** Version of the configuration that the decision used. */
     CONFIG,
-    /** Time since the list of servers was asked for that decided. */
+    /** Age of the server list that the decision used: time since it was requested. */
     SERVERS_AGE_MS,
-    /** Other nodes that were heard of late. */
+    /** Number of other nodes from which a report was received recently. */
     PEERS,
     RANK,
-    /** Ranks in force, of workspaces and of each service's routes: what levels are made of. */
+    /** Active ranks of workspaces and of each service's routes, from which levels are computed. */
     RANKS,
-    /** How urgent the server was told the request is, 0 first. */
+    /** Priority level that was sent to the server; 0 is the most urgent. */
     LEVEL,
-    /** Time until the request is given up. */
+    /** Time left until the request's deadline. */
     LEFT_MS,
-    /** Number of the attempt, from 1; at the end how many there were. */
+    /** Number of the attempt, from 1; in the line about a request's end, the number of attempts. */
     ATTEMPT,
-    /** Servers that the attempt could have gone to. */
+    /** Number of servers that were eligible for the attempt. */
     CANDIDATES,
-    /** Requests of all nodes at the server, as far as they were known. */
+    /** Known requests of all nodes in flight at the server. */
     RUNNING,
-    /** Prompt tokens that the server had still to read, as far as they were known. */
+    /** Known prompt tokens that the server had still to prefill. */
     READING,
-    /** Prompt tokens of this request that the server was expected to read. */
+    /** Prompt tokens of this request that the server was expected to prefill. */
     TO_READ,
-    /** Its place in the order in which prompts of its rank are read, 0 first. */
+    /** Step within the rank, which orders the prefill of prompts; 0 is the first. */
     STEP,
-    /** Prompt tokens that the server should fetch from another one in place of reading them. */
+    /** Prompt tokens of a cached prefix that the server should fetch from another server instead of prefilling them. */
     FETCH,
-    /** The server from which it should fetch them. */
+    /** Server from which the prefix should be fetched. */
     FETCH_FROM,
-    /** How an attempt ended, or with what outcome a request did. */
+    /** Outcome of an attempt or a request. */
     END,
     WHY,
-    /** What is known of whether the request ran. */
+    /** Whether the request ran, as far as known. */
     RUN,
-    /** Last event of a stream that was passed on. */
+    /** Id of the last stream event that was passed on. */
     EVENT_ID,
     STATUS,
-    /** Numbered result. */
+    /** Number of the result code. */
     CODE,
     RETRY_AFTER_MS,
-    /** Time since the request's last byte, or since the beginning of what the line is about. */
+    /** Time since the request's last byte, or since the start of what the line is about. */
     MS,
     FIRST_MS,
-    /** Longest pause between two events of a stream. */
+    /** Longest gap between two events of a stream. */
     PAUSE_MS,
-    /** Whether the answer missed its route's target or allowed pause. */
+    /** Whether the answer missed its route's target or maximum event gap. */
     LATE,
     /** Key of the platform's store. */
     KEY,
-    /** Fencing token of the holding of a duty. */
+    /** Fencing token of the duty's holder. */
     TOKEN,
     /** Number of a usage window. */
     WINDOW,
-    /** Nodes whose counts of the window are complete, and nodes that were known. */
+    /** Number of nodes whose counts of the window are complete. */
     HEARD,
+    /** Number of known nodes. */
     KNOWN,
-    /** Time for which the lease of the duty is proven to run on. */
+    /** Minimum remaining time of the duty's lease. */
     LEASE_LEFT_MS,
     UNITS,
     ROUTES,
@@ -78,7 +79,7 @@
 
     private final String label = name().toLowerCase(Locale.ROOT);
 
-    /** Returns the name in a line. */
+    /** Returns the field's name in log lines, in lower case. */
     public String label() {
         return label;
     }
--- a/node/src/main/java/org/tanagerhinge/node/log/LogLine.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/LogLine.java
@@ -7,10 +7,10 @@
 import org.slf4j.event.Level;
 
 /**
- * One line about one decision, with fixed field names.
+ * Builds one structured log line about an event.
  *
- * <p>{@code System.Logger} carries texts only, so these lines are written as they are built; the logging library says which
- * are wanted. Ids, names, numbers and reasons go into lines; keys and bodies never.
+ * <p>{@code System.Logger} has no structured fields, so these lines go directly to the appender; the logging library
+ * only decides which levels are enabled. Lines contain ids, names, numbers and reasons, and never keys or bodies.
  */
 public final class LogLine {
     private static final Map<LogEvent.Subject, Logger> LOGGERS = new EnumMap<>(LogEvent.Subject.class);
@@ -21,7 +21,7 @@
         }
     }
 
-    /** Takes the fields of lines that nobody wants. */
+    /** Ignores the fields of a line whose level is disabled. */
     private static final LogLine DISABLED = new LogLine(null, false);
 
     private final StringBuilder text;
@@ -32,17 +32,17 @@
         this.failure = failure;
     }
 
-    /** Returns a line about an ordinary decision. */
+    /** Starts a line about an ordinary event. */
     public static LogLine of(LogEvent event) {
         return of(event, false);
     }
 
-    /** Returns a line about something that went wrong: it is written longer than others when lines are too many. */
+    /** Starts a line about a failure, which is dropped later than others when there are too many lines. */
     public static LogLine failure(LogEvent event) {
         return of(event, true);
     }
 
-    /** Returns a line that is a failure or not. */
+    /** Starts a line that is about a failure or not. */
     public static LogLine of(LogEvent event, boolean failure) {
         Level level = failure ? Level.WARN : Level.INFO;
         if (!LOGGERS.get(event.subject()).isEnabledForLevel(level)) {
@@ -75,7 +75,7 @@
         return this;
     }
 
-    /** Writes the line, or drops and counts it where lines are too many. */
+    /** Writes the line, or drops and counts it when there are too many lines. */
     public void write() {
         if (text != null) {
             LogSetup.write(JsonLineEncoder.end(text), failure);
--- a/node/src/main/java/org/tanagerhinge/node/log/LogProvider.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/LogProvider.java
@@ -9,13 +9,11 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Hands the logging library out ready set up, for daemons.
+ * Provides a configured Logback context to SLF4J in daemons.
  *
- * <p>The library's own way looks for configurators, reads their annotations and compares versions. That takes 40 ms of
- * processor time, for which nobody is served after a restart.
+ * <p>It skips Logback's search for configurators, which would delay the first request after a restart.
  */
 public final class LogProvider implements SLF4JServiceProvider {
-    /** The version of the interface that this was written for. */
     private static final String REQUESTED_API_VERSION = "2.0.99";
 
     private final LoggerContext context = new LoggerContext();
--- a/node/src/main/java/org/tanagerhinge/node/log/LogSetup.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/LogSetup.java
@@ -15,12 +15,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets up JSON lines, on standard output in daemons and on standard error in programs that print results; the system
- * property {@code tanagerhinge.log} gives the least level, INFO if absent, and {@code tanagerhinge.request.log} that of
- * the lines about single requests.
+ * Configures logging as JSON lines, on standard output in daemons and on standard error in programs that print results.
  *
- * <p>In code and not in an XML file, since reading one takes over a tenth of a second of processor time, for which nobody
- * is served after a restart.
+ * <p>The system property {@code tanagerhinge.log} sets the minimum level, INFO by default, and
+ * {@code tanagerhinge.request.log} that of lines about single requests. The configuration is code, since parsing an XML
+ * file would delay the first request after a restart.
  */
 @ConfiguratorRank(ConfiguratorRank.CUSTOM_HIGH_PRIORITY)
 public final class LogSetup extends ContextAwareBase implements Configurator {
@@ -30,7 +29,7 @@
     private static volatile BoundedAppender appender;
     private static final List<BoundedAppender> COPIES = new CopyOnWriteArrayList<>();
 
-    /** Has lines written to standard output; must be called before the first logger is made. */
+    /** Directs lines to standard output; must be called before the first logger is created. */
     public static void toStandardOutput() {
         System.setProperty(TARGET_PROPERTY, "out");
         if (System.getProperty(LoggerFactory.PROVIDER_PROPERTY_KEY) == null) {
@@ -38,12 +37,12 @@
         }
     }
 
-    /** Sets the name that each line of this process bears. */
+    /** Sets the node name that each line of this process contains. */
     public static void setNodeName(String name) {
         ENCODER.node(name);
     }
 
-    /** Sets which lines about single requests are written, while the process runs. */
+    /** Sets which lines about single requests are written; may be changed while the process runs. */
     public static void setRequestLines(RequestLines lines) {
         if (LoggerFactory.getILoggerFactory() instanceof LoggerContext context) {
             context.getLogger(LogEvent.Subject.REQUEST.loggerName())
@@ -56,12 +55,12 @@
         }
     }
 
-    /** Returns the beginning of a line about an event. */
+    /** Starts a line about an event. */
     static StringBuilder begin(String level, LogEvent event) {
         return ENCODER.begin(System.currentTimeMillis(), level, event.label());
     }
 
-    /** Writes a line. */
+    /** Writes a line to the appender and to all copies. */
     static void write(byte[] line, boolean failure) {
         BoundedAppender current = appender;
         if (current != null) {
@@ -72,13 +71,13 @@
         }
     }
 
-    /** Returns how many lines were dropped since the start, since nobody read them or there were too many. */
+    /** Returns the number of lines dropped since the start, for want of a reader or over the maximum rate. */
     public static long dropped() {
         BoundedAppender current = appender;
         return current == null ? 0 : current.dropped();
     }
 
-    /** Has lines written to another stream as well, until the returned handle is closed; that waits for those so far. */
+    /** Copies lines to another stream until the returned handle is closed; closing it flushes the copy. */
     public static AutoCloseable copyTo(OutputStream out) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         BoundedAppender copy = BoundedAppender.to(out, ENCODER);
@@ -95,7 +94,7 @@
         };
     }
 
-    /** Waits until the lines so far are written, for a short time at the most. */
+    /** Waits until the buffered lines are written, up to a short timeout. */
     public static void flush() {
         BoundedAppender current = appender;
         if (current != null) {
--- a/node/src/main/java/org/tanagerhinge/node/log/RequestLines.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/RequestLines.java
@@ -2,10 +2,10 @@
 
 /** Which lines about single requests are written. */
 public enum RequestLines {
-    /** Every decision. */
+    /** All events of requests. */
     ALL,
-    /** Only what went wrong, and how requests ended that did. */
+    /** Only failures and the ends of failed requests. */
     FAILED,
-    /** None at all. */
+    /** No lines about single requests. */
     NONE
 }
--- a/node/src/main/java/org/tanagerhinge/node/log/package-info.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/package-info.java
@@ -1,2 +1,2 @@
-/** How the programs write their logs. */
+/** Structured logging as JSON lines. */
 package org.tanagerhinge.node.log;
--- a/node/src/main/java/org/tanagerhinge/node/metrics/NodeMetrics.java
+++ b/node/src/main/java/org/tanagerhinge/node/metrics/NodeMetrics.java
@@ -16,7 +16,7 @@
 import org.tanagerhinge.core.invariant.Invariant;
 import org.tanagerhinge.core.invariant.InvariantMonitor;
 
-/** The counters, gauges and histograms of one node, in a registry of their own. */
+/** Holds the counters, gauges and histograms of one node in its own registry. */
 public final class NodeMetrics implements InvariantMonitor {
     private static final Logger LOG = System.getLogger(NodeMetrics.class.getName());
     private static final double[] BUCKET_BOUNDS_SECONDS = {
@@ -26,7 +26,7 @@
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private final Counter decisions = Counter.builder()
             .name("tanagerhinge_decisions_total")
-            .help("Refusals, retries, sheds and other decisions by reason")
+            .help("Rejections, retries and other decisions by reason")
             .labelNames("reason")
             .register(registry);
     private final Counter results = Counter.builder()
@@ -36,19 +36,19 @@
             .register(registry);
     private final Counter invariantChecks = Counter.builder()
             .name("tanagerhinge_invariant_checks_total")
-            .help("Checks of what must always hold; any violation calls for a look")
+            .help("Checks of invariants; investigate any violation")
             .labelNames("promise", "result")
             .register(registry);
     private final Histogram firstOutput = histogram("tanagerhinge_first_output_seconds", "Arrival to first output");
     private final Histogram betweenTokens =
             histogram("tanagerhinge_between_tokens_seconds", "Mean time between tokens of an answer");
     private final Histogram longestEventGap =
-            histogram("tanagerhinge_longest_pause_seconds", "Longest pause between two events of a stream");
-    private final Histogram completeAnswer = histogram("tanagerhinge_whole_answer_seconds", "Arrival to whole answer");
+            histogram("tanagerhinge_longest_pause_seconds", "Longest gap between two events of a stream");
+    private final Histogram completeAnswer = histogram("tanagerhinge_whole_answer_seconds", "Arrival to complete answer");
 
     private final Histogram storeCalls = Histogram.builder()
             .name("tanagerhinge_store_call_seconds")
-            .help("Calls to the platform's store, by call and how they ended")
+            .help("Calls to the platform's store, by call and result")
             .labelNames("call", "result")
             .classicOnly()
             .classicUpperBounds(BUCKET_BOUNDS_SECONDS)
@@ -56,7 +56,7 @@
 
     private NodeMetrics() {}
 
-    /** Returns the metrics of a node that starts now. */
+    /** Returns the metrics of a node, all zero. */
     public static NodeMetrics create() {
         return new NodeMetrics();
     }
@@ -71,29 +71,29 @@
                 .register(registry);
     }
 
-    /** Counts a decision by its reason. */
+    /** Counts a decision by reason. */
     public void count(String reason) {
         decisions.labelValues(reason).inc();
     }
 
-    /** Counts the end of a request. */
+    /** Counts an ended request by profile and result code. */
     public void countResult(String profile, int code) {
         results.labelValues(profile, Integer.toString(code)).inc();
     }
 
-    /** Notes the times of a whole answer; zero times are left out. */
+    /** Observes the times of a complete answer; zero times are skipped. */
     public void observeAnswer(String profile, Duration timeToFirstOutput, Duration meanTokenGap, Duration totalTime) {
         observe(firstOutput, profile, timeToFirstOutput);
         observe(betweenTokens, profile, meanTokenGap);
         observe(completeAnswer, profile, totalTime);
     }
 
-    /** Notes the longest pause of a stream that has ended; zero is left out. */
+    /** Observes the longest event gap of an ended stream; zero is skipped. */
     public void longestEventGap(String profile, Duration gap) {
         observe(longestEventGap, profile, gap);
     }
 
-    /** Notes a call to the platform's store. */
+    /** Observes the duration of a call to the platform's store. */
     public void observeStoreCall(String call, String result, Duration time) {
         storeCalls.labelValues(call, result).observe(time.toNanos() / 1e9);
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Shows a value that is read whenever the metrics are. */
+    /** Registers a gauge whose value is read at each scrape. */
     public void registerGauge(String name, String help, DoubleSupplier value) {
         GaugeWithCallback.builder()
                 .name("tanagerhinge_" + name)
@@ -113,7 +113,7 @@
                 .register(registry);
     }
 
-    /** A control thread that has ended or is stuck must not take the other metrics with it. */
+    /** Returns NaN if the control thread has ended or does not answer, so that the other metrics are still served. */
     private static double valueOrNaN(DoubleSupplier value) {
         try {
             return value.getAsDouble();
@@ -130,10 +130,10 @@
     @Override
     public void recordViolation(Invariant invariant, String detail) {
         invariantChecks.labelValues(invariant.label(), "violated").inc();
-        LOG.log(Level.ERROR, "promise " + invariant.label() + " violated: " + detail);
+        LOG.log(Level.ERROR, "invariant " + invariant.label() + " violated: " + detail);
     }
 
-    /** Returns everything in the Prometheus text format. */
+    /** Returns all metrics in the Prometheus text format. */
     public String text() {
         try {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/node/src/main/java/org/tanagerhinge/node/platform/ClaimStore.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/ClaimStore.java
@@ -15,17 +15,18 @@
 import org.tanagerhinge.core.message.ClaimEntry;
 
 /**
- * Claims of callers' keys: one value a key in the platform's store, written by compare-and-swap under a lease.
+ * Stores claims of callers' idempotency keys: one value for each key in the platform's store, written by
+ * compare-and-swap under a lease.
  *
- * <p>A new key costs one call. Claims of one process share a lease for a while, so that leases cost next to nothing.
- * Calls block.
+ * <p>Claiming a new key takes one call. Claims of one process share a lease for a period, to save grant calls. Calls
+ * block.
  */
 public final class ClaimStore {
-    /** How long claims last at the least: longer than agents remember a request (an hour) and than any deadline. */
+    /** Minimum lifetime of a claim; must exceed the hour for which agents remember a request, and any deadline. */
     private static final Duration MIN_CLAIM_LIFETIME = Duration.ofHours(2);
-    /** For how long new claims go under one lease. */
+    /** Period during which new claims are attached to the same lease. */
     private static final Duration LEASE_SHARING_PERIOD = Duration.ofHours(1);
-    /** A swap that meets another version is tried again at most so often: each time somebody else got further. */
+    /** Maximum number of swaps when concurrent writers keep changing the version. */
     private static final int MAX_SWAP_ATTEMPTS = 4;
 
     private static final String KEY_PREFIX = "tanagerhinge/claims/";
@@ -42,9 +43,9 @@
     }
 
     /**
-     * Returns the claims kept in a store.
+     * Returns a claim store on a key-value store.
      *
-     * @param clock a steady clock
+     * @param clock a monotonic clock
      */
     public static ClaimStore in(PlatformStore store, InstantSource clock) {
         return new ClaimStore(store, clock);
@@ -74,13 +75,13 @@
                     return new ClaimDecision.Granted(next);
                 }
             }
-            return new ClaimDecision.Unsettled("others wrote the claim each time");
+            return new ClaimDecision.Unsettled("other writers changed the claim at each attempt");
         } catch (PlatformException e) {
             return new ClaimDecision.Unsettled(e.getMessage());
         }
     }
 
-    /** Gives a claim back, so that the next request may have the key. */
+    /** Releases a claim, so that another request can claim the key; does nothing if it changed owner or generation. */
     public void release(ClaimEntry claim) throws PlatformException {
         String key = key(claim.digest());
         Optional<PlatformStore.Versioned> current = store.read(key);
--- a/node/src/main/java/org/tanagerhinge/node/platform/ConfigPoller.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/ConfigPoller.java
@@ -14,11 +14,10 @@
 import org.tanagerhinge.node.metrics.NodeMetrics;
 
 /**
- * Reads the configuration from the platform's service now and then, on a thread of its own.
+ * Polls the configuration from the platform's store on its own thread, which alone blocks while the store is slow.
  *
- * <p>Polling at an interval that grows with the number of routers keeps the calls of the whole fleet to a fixed rate; a
- * change found by one node reaches the others over their connections. The service being down or slow holds up nothing
- * but this thread.
+ * <p>An interval that grows with the number of routers keeps the calls of the whole fleet at a fixed rate; nodes forward
+ * a change to each other over their links.
  */
 public final class ConfigPoller implements AutoCloseable {
     private static final Logger LOG = System.getLogger(ConfigPoller.class.getName());
@@ -41,9 +40,9 @@
     }
 
     /**
-     * Starts to poll, at once and then at an interval that may change.
+     * Starts polling at once and then at an interval, with jitter, that is read before each poll.
      *
-     * @param found takes each configuration that was read
+     * @param onConfig receives each configuration that was read
      */
     public static ConfigPoller start(
             ConfigStore store, Supplier<Duration> interval, Consumer<ClusterConfig> onConfig, NodeMetrics metrics) {
@@ -57,13 +56,13 @@
             metrics.count("platform_call");
             onConfig.accept(store.read());
             if (failing) {
-                LOG.log(Level.INFO, "the platform service answers again");
+                LOG.log(Level.INFO, "the platform service answers again; configuration is up to date");
             }
             failing = false;
         } catch (PlatformException | InvalidConfigException e) {
             metrics.count("platform_call_failed");
             if (!failing) {
-                LOG.log(Level.WARNING, "configuration cannot be read: " + e.getMessage());
+                LOG.log(Level.WARNING, "cannot read the configuration, keeping the last one: " + e.getMessage());
             }
             failing = true;
         } finally {
--- a/node/src/main/java/org/tanagerhinge/node/platform/ConfigStore.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/ConfigStore.java
@@ -13,7 +13,7 @@
 import org.tanagerhinge.core.config.ServersDocument;
 import org.tanagerhinge.node.platform.PlatformStore.Versioned;
 
-/** The shared documents in the platform's service: reading both in one call, and editing one by compare-and-swap. */
+/** Reads both configuration documents from the platform's store in one call, and edits one by compare-and-swap. */
 public final class ConfigStore {
     private static final String PREFIX = "tanagerhinge/config/";
     private static final String PROFILES = PREFIX + "profiles";
@@ -28,21 +28,21 @@
         this.store = store;
     }
 
-    /** Returns the documents kept in a store. */
+    /** Returns the configuration documents of a key-value store. */
     public static ConfigStore in(PlatformStore store) {
         return new ConfigStore(store);
     }
 
-    /** How an edit ended. */
+    /** Result of an edit. */
     public sealed interface Edit {
-        /** It is accepted as a revision. */
+        /** The edit was accepted as a revision. */
         record Accepted(long revision) implements Edit {}
 
-        /** Somebody else edited the document since it was read; nothing was changed. */
+        /** The document was changed by someone else since it was read; nothing was written. */
         record Conflict() implements Edit {}
     }
 
-    /** Reads both documents; a document that is not there counts as empty. */
+    /** Reads both documents; a missing document counts as empty. */
     public ClusterConfig read() throws PlatformException, InvalidConfigException {
         Map<String, Versioned> values = store.readAll(PREFIX);
         Versioned profiles = values.get(PROFILES);
@@ -100,8 +100,8 @@
         try {
             return store.write(key, text, version) ? new Edit.Accepted(revision) : new Edit.Conflict();
         } catch (PlatformException failure) {
-            // The answer was lost, but the write may have taken effect: were it sent again or reported as failed, the
-            // operator would make the change twice. The change ids in the document tell.
+            // The response was lost, but the write may have taken effect. Retrying it or reporting a failure could
+            // apply the change twice, so the change ids in the document are checked.
             return resolveLostWrite(key, revision, changeId, failure);
         }
     }
@@ -121,7 +121,7 @@
             }
         }
         throw new PlatformException(
-                "edit " + changeId, "whether the edit was accepted is not known; read the document again", lastFailure);
+                "edit " + changeId, "unknown whether the edit was accepted; read the document again", lastFailure);
     }
 
     private static void pause() throws PlatformException {
--- a/node/src/main/java/org/tanagerhinge/node/platform/EtcdStore.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/EtcdStore.java
@@ -18,7 +18,7 @@
 import org.eclipse.jetty.client.StringRequestContent;
 import org.eclipse.jetty.http.HttpMethod;
 
-/** Speaks the etcd v3 JSON-over-HTTP protocol: {@code /v3/kv/range} and {@code /v3/kv/txn}. */
+/** Client of a key-value store that speaks the etcd v3 JSON-over-HTTP protocol. */
 public final class EtcdStore implements PlatformStore {
     private static final ObjectMapper JSON = new ObjectMapper();
 
--- a/node/src/main/java/org/tanagerhinge/node/platform/PlatformStore.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/PlatformStore.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What the system asks of the platform's key-value service. Calls block and belong on a thread of their own. */
+/** Blocking client of the platform's key-value store, with compare-and-swap and leases. */
 public interface PlatformStore {
-    /** A value and the version that a compare-and-swap must name. */
+    /** A value and its version, for compare-and-swap. */
     record Versioned(String value, long version) {}
 
-    /** Returns the value of a key, if it has one. */
+    /** Returns the value of a key, or empty if the key does not exist. */
     Optional<Versioned> read(String key) throws PlatformException;
 
-    /** Returns all values whose keys begin with a prefix, in one call. */
+    /** Returns all values by key whose keys start with a prefix, in one call. */
     Map<String, Versioned> readAll(String prefix) throws PlatformException;
 
     /**
-     * Writes a value if the key is still at a version.
+     * Writes a value if the key is still at the expected version.
      *
      * @param expected the version read before; 0 if the key must not exist
      * @return whether the write took effect
@@ -24,23 +24,23 @@
      */
     boolean write(String key, String value, long expectedVersion) throws PlatformException;
 
-    /** How a conditional write under a lease ended. */
+    /** Result of a conditional write under a lease. */
     sealed interface Swap {
-        /** It took effect. */
+        /** The write took effect. */
         record Done() implements Swap {}
 
-        /** The key is at another version; nothing was changed. */
+        /** The key is at another version, or does not exist; nothing was written. */
         record Differs(Optional<Versioned> current) implements Swap {}
     }
 
     /**
-     * Writes a value that ends with a lease, if the key is still at a version; else tells what is there, in one call.
+     * Writes a value under a lease if the key is at the expected version; otherwise returns the current value.
      *
      * @param expected the version read before; 0 if the key must not exist
      * @throws PlatformException if no answer came; the write may have taken effect all the same
      */
     Swap swap(String key, String value, long expectedVersion, long leaseId) throws PlatformException;
 
-    /** Returns a new lease, whose keys are removed after a time. */
+    /** Grants a lease and returns its id; keys under it are removed after the duration. */
     long grantLease(Duration duration) throws PlatformException;
 }
--- a/node/src/main/java/org/tanagerhinge/node/platform/package-info.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's key-value service behind one narrow interface; its real protocol is one class to change. */
+/** Access to the platform's key-value store, and the configuration and claims stored there. */
 package org.tanagerhinge.node.platform;
--- a/node/src/main/java/org/tanagerhinge/node/settings/IniParser.java
+++ b/node/src/main/java/org/tanagerhinge/node/settings/IniParser.java
@@ -5,23 +5,23 @@
 import java.util.Map;
 
 /**
- * The values of an INI text by {@code section.name}, with the lines on which they stand.
+ * Parses INI text into values by {@code section.name}, with their line numbers.
  *
- * <p>Sections in brackets, {@code name = value}, comments on lines that begin with {@code #} or {@code ;} or behind a
- * value and a blank, values in double quotes where blanks or those signs belong to them. A library that stood here took a
- * tenth of all processor time until a restarted gateway serves, and told no line numbers.
+ * <p>Accepts sections in brackets, {@code name = value}, and comments that start with {@code #} or {@code ;} at the
+ * beginning of a line or after whitespace behind a value. A value that contains such characters, or begins or ends with
+ * whitespace, is put in double quotes.
  */
 final class IniParser {
     /**
-     * A value.
+     * A value and where it was found.
      *
-     * @param line counted from 1
+     * @param lineNumber counted from 1
      */
     record Value(String text, int lineNumber) {}
 
     private IniParser() {}
 
-    /** Reads a text; a name that is given twice counts as it was given first. */
+    /** Parses a text; of a name that is given twice, the first value counts. */
     static Map<String, Value> parse(String name, String text) throws InvalidSettingsException {
         Map<String, Value> values = new LinkedHashMap<>();
         String section = "";
--- a/node/src/main/java/org/tanagerhinge/node/settings/InvalidSettingsException.java
+++ b/node/src/main/java/org/tanagerhinge/node/settings/InvalidSettingsException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.tanagerhinge.core.result.TanagerhingeException;
 
-/** Thrown for settings that cannot be used; carries every problem, each with line, value and what was expected. */
+/** Thrown for invalid settings; lists all problems, each with its line, value and the expected format. */
 public final class InvalidSettingsException extends TanagerhingeException {
     private static final long serialVersionUID = 1L;
 
@@ -14,7 +14,7 @@
         this.problems = List.copyOf(problems);
     }
 
-    /** Returns the problems in the order of the file, then what is missing. */
+    /** Returns the problems: unknown settings first, then invalid and missing ones as they were declared. */
     public List<String> problems() {
         return problems;
     }
--- a/node/src/main/java/org/tanagerhinge/node/settings/Setting.java
+++ b/node/src/main/java/org/tanagerhinge/node/settings/Setting.java
@@ -13,11 +13,11 @@
 import java.util.regex.Pattern;
 
 /**
- * One value that a program takes from its settings.
+ * Declares one setting of a program: its name, format, default and help text.
  *
- * @param expected what a value must look like, for error messages
- * @param parser turns the text into the value, or throws IllegalArgumentException
- * @param absent the text taken when the file has none; empty if the file must have one
+ * @param expected description of valid values, for error messages
+ * @param parser parses the text; throws IllegalArgumentException if it is invalid
+ * @param defaultText text of the default value; empty if the setting is required
  * @param <T> type of the value
  */
 public record Setting<T>(
@@ -31,18 +31,18 @@
     private static final Pattern ADDRESS = Pattern.compile("\\[?([0-9a-fA-F:.]+)]?:([0-9]{1,5})");
     private static final int MAX_PORT = 65_535;
 
-    /** Returns a setting that is any text. */
+    /** Returns a setting whose value is any text. */
     public static Setting<String> text(String section, String name, String defaultText, String help) {
         return new Setting<>(section, name, "a text", text -> text, Optional.ofNullable(defaultText), help);
     }
 
-    /** Returns a setting that is an id, checked by its factory. */
+    /** Returns a required setting whose value is an id, checked by its factory. */
     public static <T> Setting<T> id(String section, String name, Function<String, T> factory, String help) {
         return new Setting<>(
                 section, name, "1 to 64 letters, digits, '.', '-' or '_'", factory, Optional.empty(), help);
     }
 
-    /** Returns a setting that is {@code IP:PORT}; a name instead of an IP number is refused. */
+    /** Returns a setting whose value is {@code IP:PORT}; host names are invalid. */
     public static Setting<InetSocketAddress> address(String section, String name, String defaultText, String help) {
         return new Setting<>(
                 section,
@@ -53,7 +53,7 @@
                 help);
     }
 
-    /** Returns a setting that is {@code IP:PORT} or left out. */
+    /** Returns an optional setting whose value is {@code IP:PORT}. */
     public static Setting<Optional<InetSocketAddress>> optionalAddress(String section, String name, String help) {
         return new Setting<>(
                 section,
@@ -64,7 +64,7 @@
                 help);
     }
 
-    /** Returns a setting that is a whole number in a range. */
+    /** Returns a setting whose value is an integer in an inclusive range. */
     public static Setting<Integer> integer(String section, String name, int min, int max, int defaultValue, String help) {
         Function<String, Integer> parser = text -> {
             int value = Integer.parseInt(text);
@@ -82,7 +82,7 @@
                 help);
     }
 
-    /** Returns a setting that is a number in a range, whole or not. */
+    /** Returns a setting whose value is a number in an inclusive range. */
     public static Setting<Double> number(
             String section, String name, double min, double max, double defaultValue, String help) {
         Function<String, Double> parser = text -> {
@@ -101,18 +101,18 @@
                 help);
     }
 
-    /** Returns a setting that is a length of time, for example {@code 500ms}, {@code 2s}, {@code 5m} or {@code 1h}. */
+    /** Returns a setting whose value is a duration, for example {@code 500ms}, {@code 2s}, {@code 5m} or {@code 1h}. */
     public static Setting<Duration> duration(String section, String name, String defaultText, String help) {
         return new Setting<>(
                 section,
                 name,
-                "a length of time such as 500ms, 2s, 5m or 1h",
+                "a duration such as 500ms, 2s, 5m or 1h",
                 Setting::parseDuration,
                 Optional.of(defaultText),
                 help);
     }
 
-    /** Returns a setting that is {@code true} or {@code false}. */
+    /** Returns a setting whose value is {@code true} or {@code false}. */
     public static Setting<Boolean> flag(String section, String name, boolean defaultValue, String help) {
         Function<String, Boolean> parser = text -> switch (text) {
             case "true" -> true;
@@ -122,7 +122,7 @@
         return new Setting<>(section, name, "true or false", parser, Optional.of(Boolean.toString(defaultValue)), help);
     }
 
-    /** Returns a setting that is one of the constants of an enum, in lower case. */
+    /** Returns a setting whose value is one of an enum's constants, in lower case. */
     public static <T extends Enum<T>> Setting<T> choice(
             String section, String name, Class<T> type, T defaultValue, String help) {
         return new Setting<>(
@@ -134,7 +134,7 @@
                 help);
     }
 
-    /** Returns a setting that is any number of the constants of an enum, in lower case with commas between; none if absent. */
+    /** Returns a setting whose value is a comma-separated list of an enum's constants; empty by default. */
     public static <T extends Enum<T>> Setting<Set<T>> choices(String section, String name, Class<T> type, String help) {
         Function<String, Set<T>> parser = text -> {
             Set<T> chosen = EnumSet.noneOf(type);
@@ -154,7 +154,7 @@
                 help);
     }
 
-    /** Returns the full name, for example {@code agent.name}. */
+    /** Returns the name with its section, for example {@code agent.name}. */
     public String qualifiedName() {
         return section + "." + name;
     }
@@ -170,7 +170,7 @@
     private static Duration parseDuration(String text) {
         Matcher matcher = DURATION.matcher(text.trim());
         if (!matcher.matches()) {
-            throw new IllegalArgumentException("not a length of time");
+            throw new IllegalArgumentException("not a duration");
         }
         Duration unit = switch (matcher.group(2)) {
             case "ms" -> Duration.ofMillis(1);
--- a/node/src/main/java/org/tanagerhinge/node/settings/Settings.java
+++ b/node/src/main/java/org/tanagerhinge/node/settings/Settings.java
@@ -11,10 +11,9 @@
 import org.tanagerhinge.core.text.NameSuggestion;
 
 /**
- * The checked settings of one program.
+ * Holds the validated settings of one program.
  *
- * <p>All problems are found and reported together, so that a half-configured program never starts and an operator need
- * not mend a file one error at a time.
+ * <p>All problems are reported together, and a program with an invalid setting does not start.
  */
 public final class Settings {
     private final Map<Setting<?>, Object> values;
@@ -24,9 +23,9 @@
     }
 
     /**
-     * Reads and checks a file.
+     * Reads and validates a file.
      *
-     * @param overrides texts by {@code section.name} that go before the file's
+     * @param overrides values by {@code section.name} that take precedence over the file's
      */
     public static Settings load(Path file, Map<String, String> overrides, List<Setting<?>> declared)
             throws InvalidSettingsException {
@@ -37,7 +36,7 @@
         }
     }
 
-    /** Checks a text; {@code name} is used in messages. */
+    /** Parses and validates a text; {@code fileName} is used in messages. */
     public static Settings parse(String fileName, String text, Map<String, String> overrides, List<Setting<?>> declared)
             throws InvalidSettingsException {
         Map<String, IniParser.Value> fileValues = IniParser.parse(fileName, text);
--- a/node/src/main/java/org/tanagerhinge/node/settings/package-info.java
+++ b/node/src/main/java/org/tanagerhinge/node/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Settings of a program, read from INI and checked as a whole before anything starts. */
+/** Settings of a program, read from an INI file and validated before the program starts. */
 package org.tanagerhinge.node.settings;
--- a/node/src/test/java/org/tanagerhinge/node/daemon/DaemonCommandTest.java
+++ b/node/src/test/java/org/tanagerhinge/node/daemon/DaemonCommandTest.java
@@ -15,7 +15,7 @@
 import org.tanagerhinge.node.settings.Settings;
 import sun.misc.Signal;
 
-/** A running daemon takes changed settings, with a signal and without one. */
+/** A running daemon reloads changed settings, with SIGHUP and without. */
 class DaemonCommandTest {
     private static final Setting<String> WORD = Setting.text("a", "word", "none", "a word");
 
@@ -42,7 +42,7 @@
 
         private String nextCall() throws InterruptedException {
             String call = calls.poll(60, TimeUnit.SECONDS);
-            return call == null ? "nothing happened" : call;
+            return call == null ? "no call within 60 s" : call;
         }
 
         @Override
@@ -62,10 +62,7 @@
         }
     }
 
-    /**
-     * Symptom: processes ended while their settings changed. Events: the settings file changes, SIGHUP comes, or only
-     * one of the two. Cause: a JVM without a handler of its own ends at SIGHUP.
-     */
+    /** Guards against a daemon that exits on SIGHUP, or misses a settings change that comes without the signal. */
     @Test
     void reloadsSettingsOnFileChangeAndOnSighupAndIgnoresInvalidOnes(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("a.ini");
--- a/node/src/test/java/org/tanagerhinge/node/log/BoundedAppenderTest.java
+++ b/node/src/test/java/org/tanagerhinge/node/log/BoundedAppenderTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The log never holds the thread that serves, stays within its volume, and tells what it dropped. */
+/** Log lines never block the calling thread, stay within the rate limit, and dropped lines are reported. */
 class BoundedAppenderTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Duration TIMEOUT = Duration.ofSeconds(60);
@@ -47,7 +47,7 @@
                 .toList();
     }
 
-    /** A stream whose reader has stopped until it is let go on. */
+    /** A stream whose writes block until it is unblocked, like a full pipe. */
     private static final class BlockedStream extends OutputStream {
         private final CountDownLatch writeStarted = new CountDownLatch(1);
         private final CountDownLatch unblocked = new CountDownLatch(1);
@@ -55,7 +55,7 @@
 
         @Override
         public void write(int b) {
-            throw new UnsupportedOperationException("lines are written whole");
+            throw new UnsupportedOperationException("lines are written in batches");
         }
 
         @Override
@@ -99,7 +99,7 @@
         assertEquals(text, lines(written).get(0).path("why").asText());
     }
 
-    /** Messages of libraries have a logger and a text, and where something was thrown its first frames. */
+    /** Guards against plain messages that lose their logger, text, exception or stack frames. */
     @Test
     void messageLineHasLoggerAndException() {
         LoggerContext context = new LoggerContext();
@@ -120,10 +120,7 @@
         assertTrue(line.path("frames").size() > 0);
     }
 
-    /**
-     * Symptom: all requests of a node stood still at once. Events: the collector of the logs stops reading, the pipe
-     * fills. Cause: a line was written by the thread that serves, which the full pipe held.
-     */
+    /** Guards against requests that block on a full log pipe whose reader has stopped. */
     @Test
     void doesNotBlockOnStoppedReaderAndReportsDroppedLines() throws InterruptedException {
         BlockedStream stream = new BlockedStream();
@@ -131,7 +128,7 @@
         BoundedAppender appender = BoundedAppender.to(stream, encoder);
         appender.start();
         write(appender, encoder, false, -1);
-        assertTrue(stream.writeStarted.await(TIMEOUT.toSeconds(), TimeUnit.SECONDS), "the writer is held by now");
+        assertTrue(stream.writeStarted.await(TIMEOUT.toSeconds(), TimeUnit.SECONDS), "the writer did not start to write");
         for (int i = 0; i < BURST_LINES; i++) {
             write(appender, encoder, false, i);
         }
@@ -151,7 +148,7 @@
         assertEquals(BURST_LINES + 1, sent + dropped);
     }
 
-    /** Load: far more lines at once than the volume allows; then one about a failure. */
+    /** Guards against a burst of lines that exceeds the rate limit or displaces a later line about a failure. */
     @Test
     void boundsVolumeAndDropsFailureLinesLast() {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
@@ -167,6 +164,6 @@
         appender.flush(TIMEOUT);
         assertTrue(appender.dropped() > 0);
         assertTrue(written.size() <= BoundedAppender.MAX_BYTES_PER_SECOND * (1 + seconds) + 1_000, written.size() + " bytes");
-        assertTrue(written.toString(StandardCharsets.UTF_8).contains("request-" + BURST_LINES), "the failure was kept");
+        assertTrue(written.toString(StandardCharsets.UTF_8).contains("request-" + BURST_LINES), "the line about the failure was dropped");
     }
 }
--- a/node/src/test/java/org/tanagerhinge/node/log/LogFieldsPageTest.java
+++ b/node/src/test/java/org/tanagerhinge/node/log/LogFieldsPageTest.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** Whoever queries logs finds each event and field in the operators' page. */
+/** Guards against log events and fields that the operations page does not describe. */
 class LogFieldsPageTest {
     @Test
     void operationsPageListsEachEventAndField() throws IOException {
--- a/node/src/test/java/org/tanagerhinge/node/settings/SettingsTest.java
+++ b/node/src/test/java/org/tanagerhinge/node/settings/SettingsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings are checked as a whole: each problem with its line, its value, what was expected and the nearest name. */
+/** All invalid settings are reported together, each with its line, value, expected format and nearest name. */
 class SettingsTest {
     private static final Setting<Integer> QUEUE_BOUND = Setting.integer("limits", "queue_bound", 1, 100, 10, "the bound");
     private static final Setting<Duration> IDLE = Setting.duration("links", "idle", "3s", "the limit");
