--- a/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
+++ b/gateway/src/main/java/org/tanagerhinge/gateway/GatewayDaemon.java
@@ -103,7 +103,8 @@
         metrics.registerGauge("config_version", "Version of the active configuration", gateway::configVersion);
         metrics.registerGauge("servers_age_seconds", "Age of the server list", gateway::serversAgeSeconds);
         metrics.registerGauge("peers_present", "Peers that reported recently", gateway::peersPresent);
-        metrics.registerGauge("peers_age_seconds", "Age of the oldest report among present peers", peers::oldestReportSeconds);
+        metrics.registerGauge(
+                "peers_age_seconds", "Age of the oldest report among present peers", peers::oldestReportSeconds);
         duties.ifPresent(participant -> metrics.registerGauge(
                 "usage_coverage",
                 "Share of known nodes whose counts the latest usage window contains",
--- a/node/src/main/java/org/tanagerhinge/node/control/ControlLoop.java
+++ b/node/src/main/java/org/tanagerhinge/node/control/ControlLoop.java
@@ -50,7 +50,8 @@
 
     /** Runs an event periodically. */
     public void scheduleEvery(Duration period, Runnable event) {
-        executor.scheduleAtFixedRate(() -> runGuarded(event), period.toMillis(), period.toMillis(), TimeUnit.MILLISECONDS);
+        executor.scheduleAtFixedRate(
+                () -> runGuarded(event), period.toMillis(), period.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** Returns the result of a query on the control thread. Blocks: for pages and metrics, not for the request path. */
--- a/node/src/main/java/org/tanagerhinge/node/daemon/DaemonCommand.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/DaemonCommand.java
@@ -159,7 +159,8 @@
             int handledSignals = hangupSignals.get();
             while (!stopped.await(SETTINGS_POLL.toMillis(), TimeUnit.MILLISECONDS)) {
                 String currentText = readOrEmpty(file);
-                if (!currentText.isEmpty() && (hangupSignals.get() != handledSignals || !currentText.equals(activeText))) {
+                if (!currentText.isEmpty()
+                        && (hangupSignals.get() != handledSignals || !currentText.equals(activeText))) {
                     handledSignals = hangupSignals.get();
                     activeText = currentText;
                     reload(daemon, file);
--- a/node/src/main/java/org/tanagerhinge/node/daemon/RequestLog.java
+++ b/node/src/main/java/org/tanagerhinge/node/daemon/RequestLog.java
@@ -24,7 +24,8 @@
     }
 
     /** Logs a failed attempt of a request. */
-    public static void attemptFailed(RequestId request, ServerId server, ResultCode code, RunOutcome runOutcome, String reason) {
+    public static void attemptFailed(
+            RequestId request, ServerId server, ResultCode code, RunOutcome runOutcome, String reason) {
         LogLine.failure(LogEvent.ATTEMPT_FAILED)
                 .with(LogField.ID, request.value())
                 .with(LogField.SERVER, server.value())
--- a/node/src/main/java/org/tanagerhinge/node/log/BoundedAppender.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/BoundedAppender.java
@@ -94,7 +94,8 @@
 
     private void refill() {
         long nowNanos = System.nanoTime();
-        availableBytes = Math.min(MAX_BYTES_PER_SECOND, availableBytes + (nowNanos - refilledAtNanos) / 1e9 * MAX_BYTES_PER_SECOND);
+        availableBytes = Math.min(
+                MAX_BYTES_PER_SECOND, availableBytes + (nowNanos - refilledAtNanos) / 1e9 * MAX_BYTES_PER_SECOND);
         refilledAtNanos = nowNanos;
     }
 
--- a/node/src/main/java/org/tanagerhinge/node/log/LogSetup.java
+++ b/node/src/main/java/org/tanagerhinge/node/log/LogSetup.java
@@ -109,7 +109,8 @@
     }
 
     static void setUp(LoggerContext context) {
-        FileDescriptor target = "out".equals(System.getProperty(TARGET_PROPERTY)) ? FileDescriptor.out : FileDescriptor.err;
+        FileDescriptor target =
+                "out".equals(System.getProperty(TARGET_PROPERTY)) ? FileDescriptor.out : FileDescriptor.err;
         BoundedAppender bounded = BoundedAppender.to(new FileOutputStream(target), ENCODER);
         bounded.setContext(context);
         bounded.setName("LINES");
--- a/node/src/main/java/org/tanagerhinge/node/metrics/NodeMetrics.java
+++ b/node/src/main/java/org/tanagerhinge/node/metrics/NodeMetrics.java
@@ -44,7 +44,8 @@
             histogram("tanagerhinge_between_tokens_seconds", "Mean time between tokens of an answer");
     private final Histogram longestEventGap =
             histogram("tanagerhinge_longest_pause_seconds", "Longest gap between two events of a stream");
-    private final Histogram completeAnswer = histogram("tanagerhinge_whole_answer_seconds", "Arrival to complete answer");
+    private final Histogram completeAnswer =
+            histogram("tanagerhinge_whole_answer_seconds", "Arrival to complete answer");
 
     private final Histogram storeCalls = Histogram.builder()
             .name("tanagerhinge_store_call_seconds")
--- a/node/src/main/java/org/tanagerhinge/node/platform/ClaimStore.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/ClaimStore.java
@@ -96,7 +96,8 @@
 
     private synchronized long currentLease() throws PlatformException {
         Instant now = clock.instant();
-        if (leaseGrantedAt.equals(Instant.MIN) || leaseGrantedAt.plus(LEASE_SHARING_PERIOD).isBefore(now)) {
+        if (leaseGrantedAt.equals(Instant.MIN)
+                || leaseGrantedAt.plus(LEASE_SHARING_PERIOD).isBefore(now)) {
             currentLease = store.grantLease(MIN_CLAIM_LIFETIME.plus(LEASE_SHARING_PERIOD));
             leaseGrantedAt = now;
         }
--- a/node/src/main/java/org/tanagerhinge/node/platform/ConfigStore.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/ConfigStore.java
@@ -112,8 +112,8 @@
         for (int attempt = 0; attempt < MAX_LOOKUPS; attempt++) {
             try {
                 Optional<Versioned> current = store.read(key);
-                boolean accepted =
-                        current.isPresent() && changeIdsOf(key, current.get().value()).contains(changeId);
+                boolean accepted = current.isPresent()
+                        && changeIdsOf(key, current.get().value()).contains(changeId);
                 return accepted ? new Edit.Accepted(revision) : new Edit.Conflict();
             } catch (PlatformException e) {
                 lastFailure = e;
--- a/node/src/main/java/org/tanagerhinge/node/settings/IniParser.java
+++ b/node/src/main/java/org/tanagerhinge/node/settings/IniParser.java
@@ -42,7 +42,8 @@
             } else {
                 throw new InvalidSettingsException(
                         name,
-                        List.of("line " + lineNumber + ": '" + line + "': expected [section], name = value or a comment"));
+                        List.of("line " + lineNumber + ": '" + line
+                                + "': expected [section], name = value or a comment"));
             }
         }
         return values;
--- a/node/src/main/java/org/tanagerhinge/node/settings/Setting.java
+++ b/node/src/main/java/org/tanagerhinge/node/settings/Setting.java
@@ -65,7 +65,8 @@
     }
 
     /** Returns a setting whose value is an integer in an inclusive range. */
-    public static Setting<Integer> integer(String section, String name, int min, int max, int defaultValue, String help) {
+    public static Setting<Integer> integer(
+            String section, String name, int min, int max, int defaultValue, String help) {
         Function<String, Integer> parser = text -> {
             int value = Integer.parseInt(text);
             if (value < min || value > max) {
--- a/node/src/main/java/org/tanagerhinge/node/settings/Settings.java
+++ b/node/src/main/java/org/tanagerhinge/node/settings/Settings.java
@@ -44,24 +44,28 @@
         fileValues.forEach((path, value) -> given.put(path, value.text()));
         List<String> problems = new ArrayList<>();
         given.putAll(overrides);
-        List<String> qualifiedNames = declared.stream().map(Setting::qualifiedName).toList();
+        List<String> qualifiedNames =
+                declared.stream().map(Setting::qualifiedName).toList();
         for (String path : given.keySet()) {
             if (!qualifiedNames.contains(path)) {
-                problems.add(location(path, fileValues) + "no such setting" + NameSuggestion.didYouMean(path, qualifiedNames));
+                problems.add(location(path, fileValues) + "no such setting"
+                        + NameSuggestion.didYouMean(path, qualifiedNames));
             }
         }
         Map<Setting<?>, Object> values = new IdentityHashMap<>();
         for (Setting<?> setting : declared) {
-            String value = given.getOrDefault(setting.qualifiedName(), setting.defaultText().orElse(null));
+            String value = given.getOrDefault(
+                    setting.qualifiedName(), setting.defaultText().orElse(null));
             if (value == null) {
-                problems.add(
-                        setting.qualifiedName() + " is missing: expected " + setting.expected() + " (" + setting.help() + ")");
+                problems.add(setting.qualifiedName() + " is missing: expected " + setting.expected() + " ("
+                        + setting.help() + ")");
                 continue;
             }
             try {
                 values.put(setting, setting.parser().apply(value));
             } catch (IllegalArgumentException e) {
-                problems.add(location(setting.qualifiedName(), fileValues) + "'" + value + "': expected " + setting.expected());
+                problems.add(location(setting.qualifiedName(), fileValues) + "'" + value + "': expected "
+                        + setting.expected());
             }
         }
         if (!problems.isEmpty()) {
--- a/node/src/test/java/org/tanagerhinge/node/log/BoundedAppenderTest.java
+++ b/node/src/test/java/org/tanagerhinge/node/log/BoundedAppenderTest.java
@@ -128,7 +128,8 @@
         BoundedAppender appender = BoundedAppender.to(stream, encoder);
         appender.start();
         write(appender, encoder, false, -1);
-        assertTrue(stream.writeStarted.await(TIMEOUT.toSeconds(), TimeUnit.SECONDS), "the writer did not start to write");
+        assertTrue(
+                stream.writeStarted.await(TIMEOUT.toSeconds(), TimeUnit.SECONDS), "the writer did not start to write");
         for (int i = 0; i < BURST_LINES; i++) {
             write(appender, encoder, false, i);
         }
@@ -163,7 +164,11 @@
         double seconds = (System.nanoTime() - startedNanos) / 1e9;
         appender.flush(TIMEOUT);
         assertTrue(appender.dropped() > 0);
-        assertTrue(written.size() <= BoundedAppender.MAX_BYTES_PER_SECOND * (1 + seconds) + 1_000, written.size() + " bytes");
-        assertTrue(written.toString(StandardCharsets.UTF_8).contains("request-" + BURST_LINES), "the line about the failure was dropped");
+        assertTrue(
+                written.size() <= BoundedAppender.MAX_BYTES_PER_SECOND * (1 + seconds) + 1_000,
+                written.size() + " bytes");
+        assertTrue(
+                written.toString(StandardCharsets.UTF_8).contains("request-" + BURST_LINES),
+                "the line about the failure was dropped");
     }
 }
--- a/node/src/test/java/org/tanagerhinge/node/settings/SettingsTest.java
+++ b/node/src/test/java/org/tanagerhinge/node/settings/SettingsTest.java
@@ -13,7 +13,8 @@
 
 /** All invalid settings are reported together, each with its line, value, expected format and nearest name. */
 class SettingsTest {
-    private static final Setting<Integer> QUEUE_BOUND = Setting.integer("limits", "queue_bound", 1, 100, 10, "the bound");
+    private static final Setting<Integer> QUEUE_BOUND =
+            Setting.integer("limits", "queue_bound", 1, 100, 10, "the bound");
     private static final Setting<Duration> IDLE = Setting.duration("links", "idle", "3s", "the limit");
     private static final Setting<String> URL = Setting.text("platform", "url", null, "the address");
     private static final List<Setting<?>> KNOWN = List.of(QUEUE_BOUND, IDLE, URL);
--- a/router/src/main/java/org/tanagerhinge/router/RouterDaemon.java
+++ b/router/src/main/java/org/tanagerhinge/router/RouterDaemon.java
@@ -148,7 +148,8 @@
     private void registerGauges() {
         metrics.registerGauge("requests_in_progress", "Requests in progress", () -> control.query(core::inFlight));
         metrics.registerGauge("links", "Agents connected", () -> control.query(core::linkedAgents));
-        metrics.registerGauge("servers_ejected", "Servers ejected for being slow", () -> control.query(core::ejectedServers));
+        metrics.registerGauge(
+                "servers_ejected", "Servers ejected for being slow", () -> control.query(core::ejectedServers));
         metrics.registerGauge(
                 "config_revision",
                 "Revision of the profiles document",
