--- a/cli/src/main/java/org/tanagerhinge/cli/CheckCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/CheckCommand.java
@@ -12,7 +12,7 @@
 import org.tanagerhinge.node.settings.Settings;
 import org.tanagerhinge.router.RouterSettings;
 
-/** Checks a file without using it. */
+/** Validates a settings file or a configuration document without applying it. */
 @Command(name = "check", description = "Check a settings file (.ini) or a document (.json) and report every problem")
 public final class CheckCommand extends PlatformCommand {
     @Arguments(title = "FILE", description = "The file to check")
@@ -22,7 +22,7 @@
     @Option(
             name = {"--as"},
             title = "router|agent|profiles|servers",
-            description = "What the file is; guessed from its content if not given")
+            description = "Kind of the file; derived from its content if not given")
     private String kind;
 
     @Override
--- a/cli/src/main/java/org/tanagerhinge/cli/CommandFailedException.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/CommandFailedException.java
@@ -2,7 +2,7 @@
 
 import org.tanagerhinge.core.result.TanagerhingeException;
 
-/** Thrown when a command cannot do what was asked; carries the exit code. */
+/** Thrown when a command fails; carries the exit code of the process. */
 final class CommandFailedException extends TanagerhingeException {
     private static final long serialVersionUID = 1L;
 
--- a/cli/src/main/java/org/tanagerhinge/cli/ExitCode.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ExitCode.java
@@ -1,15 +1,15 @@
 package org.tanagerhinge.cli;
 
-/** How the client exits; documented in {@code docs/OPERATIONS.md}. */
+/** Exit codes of the command-line client, documented in {@code docs/OPERATIONS.md}. */
 enum ExitCode {
     OK(0),
-    /** The document, file or name is wrong; nothing was changed. */
+    /** The document, file or name is invalid; nothing was changed. */
     INVALID(1),
-    /** The command line is wrong. */
+    /** The command line is invalid. */
     USAGE(2),
-    /** Somebody else edited the document at the same time; nothing was changed. */
+    /** The document was edited concurrently; nothing was changed. */
     CONFLICT(3),
-    /** The platform's service cannot be reached, or whether an edit was accepted is not known. */
+    /** The platform's key-value service is unreachable, or the outcome of an edit is unknown. */
     PLATFORM(4);
 
     private final int number;
--- a/cli/src/main/java/org/tanagerhinge/cli/ExplainCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ExplainCommand.java
@@ -6,10 +6,10 @@
 import org.tanagerhinge.core.result.ResultCode;
 import org.tanagerhinge.core.result.TanagerhingeException;
 
-/** Explains a numbered result code. */
+/** Prints the meaning of a result code, or a table of all result codes. */
 @Command(name = "explain", description = "Explain a result code, or list them all")
 public final class ExplainCommand extends PlatformCommand {
-    @Arguments(title = "CODE", description = "The number; all codes if not given")
+    @Arguments(title = "CODE", description = "Number of the result code; all codes if not given")
     private Integer number;
 
     @Override
@@ -30,13 +30,13 @@
         Optional<ResultCode> code = ResultCode.ofNumber(number);
         if (code.isEmpty()) {
             throw new CommandFailedException(
-                    ExitCode.INVALID, "result code " + number + " does not exist; 'explain' alone lists all");
+                    ExitCode.INVALID, "result code " + number + " does not exist; 'explain' without a number lists all");
         }
         out().println(number + " " + code.get().label() + " (HTTP " + code.get().httpStatus() + "): "
                 + code.get().meaning());
         out().println(
                         code.get().retryable()
-                                ? "Coming back after Retry-After may help."
-                                : "Coming back does not help.");
+                                ? "A retry after Retry-After may succeed."
+                                : "A retry does not help.");
     }
 }
--- a/cli/src/main/java/org/tanagerhinge/cli/InputFile.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/InputFile.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import org.tanagerhinge.cli.trace.LogFile;
 
-/** Reads the files that commands are given. */
+/** Reads the files named on the command line. */
 final class InputFile {
     private InputFile() {}
 
--- a/cli/src/main/java/org/tanagerhinge/cli/Main.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/Main.java
@@ -5,7 +5,7 @@
 import com.github.rvesse.airline.help.Help;
 import com.github.rvesse.airline.parser.errors.ParseException;
 
-/** The entry of the operators' client. */
+/** Entry point of the operators' command-line client. */
 public final class Main {
     private Main() {}
 
@@ -41,12 +41,12 @@
 
     private static Cli<Object> cli() {
         CliBuilder<Object> builder = Cli.<Object>builder("tanagerhinge")
-                .withDescription("Edits profiles, marks backend servers and shows the state of the system")
+                .withDescription("Edits profiles, sets the desired state of backend servers and shows the state of the system")
                 .withDefaultCommand(Help.class)
                 .withCommands(
                         Help.class, StatusCommand.class, ExplainCommand.class, TraceCommand.class, ReportCommand.class);
         builder.withGroup("profile")
-                .withDescription("Profiles: latency target, tier, idempotent or not")
+                .withDescription("Profiles: latency targets, tier and idempotence")
                 .withDefaultCommand(ProfileCommands.ListProfiles.class)
                 .withCommands(
                         ProfileCommands.ListProfiles.class,
@@ -55,11 +55,11 @@
                         ProfileCommands.SetProfile.class,
                         ProfileCommands.DiffProfiles.class);
         builder.withGroup("workspace")
-                .withDescription("Workspaces and their keys")
+                .withDescription("Workspaces and their API keys")
                 .withDefaultCommand(WorkspaceCommands.ListWorkspaces.class)
                 .withCommands(WorkspaceCommands.ListWorkspaces.class, WorkspaceCommands.AddWorkspace.class);
         builder.withGroup("server")
-                .withDescription("Backend servers and their marks")
+                .withDescription("Backend servers and their desired states")
                 .withDefaultCommand(ServerCommands.ListServers.class)
                 .withCommands(
                         ServerCommands.ListServers.class,
@@ -67,7 +67,7 @@
                         ServerCommands.LeaveServer.class,
                         ServerCommands.StopServer.class);
         builder.withGroup("config")
-                .withDescription("Settings and documents in files")
+                .withDescription("Settings files and configuration documents")
                 .withDefaultCommand(CheckCommand.class)
                 .withCommands(CheckCommand.class);
         return builder.build();
--- a/cli/src/main/java/org/tanagerhinge/cli/PlatformCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/PlatformCommand.java
@@ -14,7 +14,7 @@
 import org.tanagerhinge.node.platform.EtcdStore;
 import org.tanagerhinge.node.platform.PlatformException;
 
-/** What the commands share: options, the connection to the platform's service, and how failures are told. */
+/** Base class of all commands: common options, access to the platform's key-value service, and error output. */
 abstract class PlatformCommand implements Callable<Integer> {
     private static final String PLATFORM_URL_VARIABLE = "TANAGERHINGE_PLATFORM";
     private static final Duration STORE_CALL_TIMEOUT = Duration.ofSeconds(3);
@@ -25,7 +25,7 @@
     @Option(
             name = {"--platform"},
             title = "URL",
-            description = "Base URL of the platform's key-value service; else from TANAGERHINGE_PLATFORM")
+            description = "Base URL of the platform's key-value service; default is the value of TANAGERHINGE_PLATFORM")
     private String platformUrl;
 
     @Option(
@@ -35,7 +35,7 @@
 
     private HttpClient sharedHttpClient;
 
-    /** Does the command's work. */
+    /** Executes the command. */
     abstract void run() throws TanagerhingeException;
 
     boolean json() {
@@ -50,7 +50,7 @@
         String url = platformUrl != null ? platformUrl : System.getenv(PLATFORM_URL_VARIABLE);
         if (url == null) {
             throw new CommandFailedException(
-                    ExitCode.USAGE, "no platform service named: give --platform URL or set " + PLATFORM_URL_VARIABLE);
+                    ExitCode.USAGE, "no URL of the platform's key-value service: pass --platform URL or set " + PLATFORM_URL_VARIABLE);
         }
         return ConfigStore.in(EtcdStore.at(httpClient(), url, STORE_CALL_TIMEOUT));
     }
--- a/cli/src/main/java/org/tanagerhinge/cli/ProfileCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ProfileCommands.java
@@ -16,7 +16,7 @@
 import org.tanagerhinge.core.text.NameSuggestion;
 import org.tanagerhinge.node.platform.ConfigStore;
 
-/** The commands that read and edit profiles. */
+/** Commands that read and edit profiles. */
 final class ProfileCommands {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -66,11 +66,11 @@
         }
     }
 
-    /** Replaces the profiles and workspaces by those of a file. */
+    /** Replaces the profiles and workspaces with those of a file. */
     @Command(
             name = "apply",
-            description = "Make the profiles and workspaces those of a file; its \"revision\", if it has one, must be"
-                    + " the newest")
+            description = "Replace the profiles and workspaces with those of a file; its \"revision\", if present, must be"
+                    + " the newest one")
     public static final class ApplyProfiles extends PlatformCommand {
         @Arguments(
                 title = "FILE",
@@ -119,8 +119,8 @@
         }
     }
 
-    /** Prints how a file differs from what is in force. */
-    @Command(name = "diff", description = "Show how a file differs from the profiles in force")
+    /** Prints the differences between a file and the active profiles. */
+    @Command(name = "diff", description = "Show the differences between a file and the active profiles")
     public static final class DiffProfiles extends PlatformCommand {
         @Arguments(title = "FILE", description = "JSON file with profiles and workspaces")
         @Required
@@ -156,7 +156,7 @@
     private static ProfilesDocument withFields(ProfilesDocument document, Profile profile, List<String> assignments)
             throws TanagerhingeException {
         if (assignments.isEmpty()) {
-            throw new CommandFailedException(ExitCode.USAGE, "expected FIELD=VALUE after the name of the profile");
+            throw new CommandFailedException(ExitCode.USAGE, "expected FIELD=VALUE after the profile name");
         }
         try {
             ObjectNode root = (ObjectNode) MAPPER.readTree(ConfigJson.render(document));
@@ -196,8 +196,8 @@
             }
             case ConfigStore.Edit.Conflict conflict -> {
                 ProfilesDocument newest = store.read().profiles();
-                StringBuilder message = new StringBuilder("somebody else has edited the profiles: they are at revision "
-                        + newest.revision() + "; nothing was changed. Your file against theirs:");
+                StringBuilder message = new StringBuilder("the profiles were edited concurrently and are now at revision "
+                        + newest.revision() + "; nothing was changed. Differences from the stored profiles to yours:");
                 ProfileDiff.between(newest, desired)
                         .forEach(line -> message.append("\n  ").append(line));
                 throw new CommandFailedException(ExitCode.CONFLICT, message.toString());
--- a/cli/src/main/java/org/tanagerhinge/cli/ProfileDiff.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ProfileDiff.java
@@ -15,7 +15,7 @@
 import org.tanagerhinge.core.id.ProfileName;
 import org.tanagerhinge.core.id.WorkspaceId;
 
-/** Says in lines how one profiles document differs from another. */
+/** Computes the differences between two profiles documents, one line per difference. */
 final class ProfileDiff {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -70,7 +70,7 @@
         try {
             return JSON.readTree(ConfigJson.render(profile));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a rendered profile is JSON", e);
+            throw new IllegalStateException("rendered profile is not valid JSON", e);
         }
     }
 }
--- a/cli/src/main/java/org/tanagerhinge/cli/ReportCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ReportCommand.java
@@ -12,27 +12,27 @@
 import org.tanagerhinge.cli.trace.LogFile;
 import org.tanagerhinge.core.result.TanagerhingeException;
 
-/** Draws what logs tell of a fleet into one page. */
-@Command(name = "report", description = "Draw what log files tell of a fleet into one page of HTML")
+/** Writes an HTML report with plots and events from the logs of a fleet. */
+@Command(name = "report", description = "Write an HTML report with plots and events from the log files of a fleet")
 public final class ReportCommand extends PlatformCommand {
-    @Arguments(title = "FILE", description = "Logs of the processes that are to be shown")
+    @Arguments(title = "FILE", description = "Log files of the processes to include")
     private List<String> logPaths = new ArrayList<>();
 
     @Option(
             name = {"--output"},
             title = "FILE",
-            description = "Where the page is written; report.html if not given")
+            description = "File to which the page is written; report.html if not given")
     private String outputPath = "report.html";
 
     @Option(
             name = {"--title"},
-            description = "Title of the page; the names of the logs if not given")
+            description = "Title of the page; the names of the log files if not given")
     private String title = "";
 
     @Override
     void run() throws TanagerhingeException {
         if (logPaths.isEmpty()) {
-            throw new CommandFailedException(ExitCode.USAGE, "report: expected one log file or more");
+            throw new CommandFailedException(ExitCode.USAGE, "report: expected at least one log file");
         }
         List<LogFile> logs = new ArrayList<>();
         for (String logPath : logPaths) {
@@ -40,7 +40,7 @@
         }
         String page = ReportPage.of(title.isEmpty() ? String.join(", ", logPaths) : title, logs)
                 .orElseThrow(() -> new CommandFailedException(
-                        ExitCode.INVALID, "no line tells of an event in " + String.join(", ", logPaths)));
+                        ExitCode.INVALID, "no log line with an event found in " + String.join(", ", logPaths)));
         try {
             Files.writeString(Path.of(outputPath), page);
         } catch (IOException e) {
--- a/cli/src/main/java/org/tanagerhinge/cli/ServerCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ServerCommands.java
@@ -21,14 +21,14 @@
 import org.tanagerhinge.core.text.NameSuggestion;
 import org.tanagerhinge.node.platform.ConfigStore;
 
-/** The commands that list and mark backend servers. */
+/** Commands that list backend servers and set their desired states. */
 final class ServerCommands {
     private static final int MAX_EDIT_ATTEMPTS = 5;
 
     private ServerCommands() {}
 
     /** Prints all backend servers. */
-    @Command(name = "list", description = "List the backend servers and their marks")
+    @Command(name = "list", description = "List the backend servers and their desired states")
     public static final class ListServers extends PlatformCommand {
         @Override
         void run() throws TanagerhingeException {
@@ -54,8 +54,8 @@
         }
     }
 
-    /** Lists a backend server, or marks one that is listed as serving again. */
-    @Command(name = "join", description = "Add a backend server, or mark a listed one as serving again")
+    /** Adds a backend server, or sets the desired state of a listed one to serving. */
+    @Command(name = "join", description = "Add a backend server, or set a listed one to serving again")
     public static final class JoinServer extends PlatformCommand {
         @Arguments(title = "ID", description = "Name of the backend server, as in its agent's settings")
         @Required
@@ -64,25 +64,25 @@
         @Option(
                 name = {"--agent"},
                 title = "IP:PORT",
-                description = "Where its agent listens; needed for a new server")
+                description = "Address of its agent; required for a new server")
         private String agentAddress;
 
         @Option(
                 name = {"--domain"},
                 title = "NAME",
-                description = "Failure domain; needed for a new server")
+                description = "Failure domain; required for a new server")
         private String failureDomain;
 
         @Option(
                 name = {"--kind"},
                 title = "model|service",
-                description = "What it is; model if not given")
+                description = "Kind of the server; model if not given")
         private String kind = "model";
 
         @Option(
                 name = {"--serves"},
                 title = "NAMES",
-                description = "The models, or the plain service, that it serves, separated by commas")
+                description = "Comma-separated models, or the plain service, that it serves; required for a new server")
         private String servedTargets;
 
         @Override
@@ -114,8 +114,8 @@
         }
     }
 
-    /** Marks a backend server as leaving. */
-    @Command(name = "leave", description = "Mark a backend server as leaving: no new work, what runs is finished")
+    /** Sets the desired state of a backend server to leaving. */
+    @Command(name = "leave", description = "Set a backend server to leaving: it gets no new requests and finishes those in flight")
     public static final class LeaveServer extends PlatformCommand {
         @Arguments(title = "ID", description = "Name of the backend server")
         @Required
@@ -127,8 +127,8 @@
         }
     }
 
-    /** Marks a backend server as stopped. */
-    @Command(name = "stop", description = "Mark a backend server as stopped: routers leave it alone")
+    /** Sets the desired state of a backend server to stopped. */
+    @Command(name = "stop", description = "Set a backend server to stopped: routers do not use it")
     public static final class StopServer extends PlatformCommand {
         @Arguments(title = "ID", description = "Name of the backend server")
         @Required
@@ -167,7 +167,7 @@
                         "backend server '" + id + "' is not listed: a new one needs --agent, --domain and --serves"));
     }
 
-    /** A mark touches one server only, so an edit that met another one is made again on top of it. */
+    /** Retries after a concurrent edit: the change affects one server only and can be applied to a newer revision. */
     private static void edit(PlatformCommand command, ServerId serverId, UnaryOperator<ServersDocument> change)
             throws TanagerhingeException {
         ConfigStore store = command.configStore();
@@ -179,7 +179,7 @@
             }
         }
         throw new CommandFailedException(
-                ExitCode.CONFLICT, "others keep editing the servers; nothing was changed, try again");
+                ExitCode.CONFLICT, "the servers are being edited concurrently: gave up after several attempts; nothing was changed, try again");
     }
 
     private static ConfigStore.Edit tryEdit(ConfigStore store, long baseRevision, UnaryOperator<ServersDocument> change)
--- a/cli/src/main/java/org/tanagerhinge/cli/StatusCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/StatusCommand.java
@@ -12,8 +12,8 @@
 import org.tanagerhinge.core.config.DesiredServerState;
 import org.tanagerhinge.core.result.TanagerhingeException;
 
-/** Prints what is in force and how the nodes are. */
-@Command(name = "status", description = "Show the configuration in force and the state of nodes")
+/** Prints the active configuration and the state of nodes. */
+@Command(name = "status", description = "Show the active configuration and the state of nodes")
 public final class StatusCommand extends PlatformCommand {
     private static final int HTTP_TIMEOUT_SECONDS = 2;
     private static final int HTTP_OK = 200;
@@ -21,7 +21,7 @@
     @Option(
             name = {"--node"},
             title = "URL",
-            description = "Base URL of a router's or agent's metrics; may be given again")
+            description = "Base URL of the metrics of a router or agent; may be repeated")
     private List<String> nodeUrls = new ArrayList<>();
 
     @Override
--- a/cli/src/main/java/org/tanagerhinge/cli/Table.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/Table.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Lines up rows in columns for people to read. */
+/** Formats rows as a text table with aligned columns. */
 final class Table {
     private static final String COLUMN_GAP = "  ";
 
--- a/cli/src/main/java/org/tanagerhinge/cli/TraceCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/TraceCommand.java
@@ -10,25 +10,25 @@
 import org.tanagerhinge.cli.trace.RequestTrace;
 import org.tanagerhinge.core.result.TanagerhingeException;
 
-/** Gathers what logs tell of one request. */
-@Command(name = "trace", description = "Gather one request's log lines from files, in order, and say how it ended")
+/** Prints the log lines of one request from all processes, in order, with a summary of its outcome. */
+@Command(name = "trace", description = "Print the log lines of one request from all files, in order, and how it ended")
 public final class TraceCommand extends PlatformCommand {
     private static final int MIN_ARGUMENTS = 2;
 
     @Arguments(
             title = "ID FILE...",
-            description = "The request's id, and the logs of all processes that may know of it")
+            description = "Id of the request, and the log files of all processes that may have handled it")
     private List<String> arguments = new ArrayList<>();
 
     @Option(
             name = {"--alone"},
-            description = "Leave out what the same processes came to believe of the servers while the request ran")
+            description = "Print the lines of the request only, without server, peer and store events around it")
     private boolean requestLinesOnly;
 
     @Override
     void run() throws TanagerhingeException {
         if (arguments.size() < MIN_ARGUMENTS) {
-            throw new CommandFailedException(ExitCode.USAGE, "trace: expected a request's id and one log file or more");
+            throw new CommandFailedException(ExitCode.USAGE, "trace: expected a request id and at least one log file");
         }
         String requestId = arguments.get(0);
         List<LogFile> logs = new ArrayList<>();
@@ -39,7 +39,7 @@
         if (trace.isEmpty()) {
             throw new CommandFailedException(
                     ExitCode.INVALID,
-                    "no line tells of request '" + requestId + "' in " + logs.size() + " file(s) with "
+                    "no log line of request '" + requestId + "' in " + logs.size() + " file(s) with "
                             + trace.lineCount() + " lines" + trace.dropped());
         }
         List<LogRecord> lines = requestLinesOnly ? trace.requestLines() : trace.linesWithContext();
--- a/cli/src/main/java/org/tanagerhinge/cli/WorkspaceCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/WorkspaceCommands.java
@@ -15,13 +15,13 @@
 import org.tanagerhinge.core.result.TanagerhingeException;
 import org.tanagerhinge.node.platform.ConfigStore;
 
-/** The commands that read and edit workspaces. */
+/** Commands that read and edit workspaces. */
 final class WorkspaceCommands {
     private static final int KEY_BYTES = 24;
 
     private WorkspaceCommands() {}
 
-    /** Prints all workspaces; keys are kept nowhere and cannot be shown. */
+    /** Prints all workspaces with the number of their keys; the keys are stored as digests only and cannot be shown. */
     @Command(name = "list", description = "List the workspaces")
     public static final class ListWorkspaces extends PlatformCommand {
         @Override
@@ -37,10 +37,10 @@
         }
     }
 
-    /** Adds a workspace with a new key, or another key to a workspace, and prints the key once. */
+    /** Generates a key for a new or existing workspace and prints it; only its digest is stored. */
     @Command(
             name = "add",
-            description = "Add a workspace, or another key to one; prints the new key, which is kept nowhere")
+            description = "Add a workspace, or another key to an existing one; prints the new key, which is not stored")
     public static final class AddWorkspace extends PlatformCommand {
         @Arguments(title = "NAME", description = "Name of the workspace")
         @Required
@@ -48,7 +48,7 @@
 
         @Option(
                 name = {"--weight"},
-                description = "Weight against other workspaces in a class; 1 if not given")
+                description = "Weight relative to other workspaces of the same class; 1 if not given")
         private double weight = 1;
 
         @Override
@@ -66,7 +66,7 @@
                 System.err.println("accepted as revision " + accepted.revision());
             } else {
                 throw new CommandFailedException(
-                        ExitCode.CONFLICT, "somebody else has just edited the workspaces; nothing was changed");
+                        ExitCode.CONFLICT, "the workspaces were edited concurrently; nothing was changed");
             }
         }
     }
--- a/cli/src/main/java/org/tanagerhinge/cli/report/ReportData.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/report/ReportData.java
@@ -16,26 +16,26 @@
 import org.tanagerhinge.node.log.LogField;
 
 /**
- * What the lines of logs come to, by second.
+ * Aggregates log records into per-second data for a report.
  *
- * <p>Seconds count from the earliest line of all. Hosts whose clocks differ, or jump, put their lines into other seconds than
- * they belong to; lines far before or after the others are left out and counted, or one wrong clock would stretch all plots.
+ * <p>Seconds count from the earliest line, by the wall clocks of the hosts. Lines far before or after the median time are
+ * excluded and counted, since one host with a wrong clock would otherwise stretch the time axis of all plots.
  */
 final class ReportData {
-    /** Longest time that a page shows: longer ones are read in parts. */
+    /** Longest time span of a report, in seconds. */
     private static final int MAX_SPAN_SECONDS = 3_600;
-    /** Longest time to a first event that is told apart, in milliseconds. */
+    /** Upper bound of the histogram of times to the first event; longer times are recorded as this value. */
     private static final long MAX_FIRST_EVENT_MILLIS = 600_000;
-    /** Characters of a refusal's reason by which reasons are told apart; numbers in them differ from request to request. */
+    /** Number of characters of the details that distinguish refusal reasons. */
     private static final int MAX_REASON_LENGTH = 40;
 
-    /** How a request ended. */
+    /** Outcome of a request. */
     enum Outcome {
         ON_TIME("on time"),
         LATE("late"),
         REFUSED("refused"),
         BROKEN("cut off"),
-        ABANDONED("left by the caller");
+        ABANDONED("abandoned by the caller");
 
         private final String label;
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Something that a process came to believe or did, and on how many hosts within one second. */
+    /** An event that does not belong to a request, and the number of hosts that logged it within one second. */
     record FleetEvent(int second, String description, int hostCount) {}
 
     private final Map<Outcome, Timeline> outcomes = new LinkedHashMap<>();
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Returns what logs come to; nothing if no line tells of an event. */
+    /** Returns the aggregated data of the logs; empty if no line has an event. */
     static Optional<ReportData> of(List<LogFile> logs) {
         List<LogRecord> records = new ArrayList<>();
         logs.forEach(log -> records.addAll(log.records()));
@@ -171,7 +171,7 @@
         if (line.has(LogField.CONFIG)) {
             description.append(" version ").append(line.number(LogField.CONFIG));
         }
-        // The address that a process listens at differs on each host, and says nothing of what happened.
+        // The details of a start are the listen address, which differs per host and would prevent merging into one row.
         if (!details.isEmpty() && eventOf(line) != LogEvent.STARTED) {
             description.append(": ").append(details);
         }
@@ -185,7 +185,7 @@
         return lineCount;
     }
 
-    /** Returns how many lines were left out, since their time is far from that of the others. */
+    /** Returns the number of lines excluded because their time is too far from the median. */
     int excludedLineCount() {
         return excludedLineCount;
     }
@@ -194,27 +194,27 @@
         return outcomes;
     }
 
-    /** Returns times to the first events of answers that ended in a second, in milliseconds. */
+    /** Returns the times to the first event in milliseconds, by the second in which the response ended. */
     Map<Integer, Histogram> firstEvents() {
         return firstEvents;
     }
 
-    /** Returns the most prompt tokens that a server was believed to have still to read, by second. */
+    /** Returns the maximum number of prompt tokens to prefill per server, as known to the sending hosts, by second. */
     Map<String, Timeline> tokensToPrefillByServer() {
         return tokensToPrefillByServer;
     }
 
-    /** Returns the most requests that a server was believed to have, by second. */
+    /** Returns the maximum number of requests in flight per server, as known to the sending hosts, by second. */
     Map<String, Timeline> inFlightByServer() {
         return inFlightByServer;
     }
 
-    /** Returns the greatest age of the list of servers that a host decided on, by second, in milliseconds. */
+    /** Returns the maximum age of the server list used for routing per host, in milliseconds, by second. */
     Map<String, Timeline> serverListAgeByNode() {
         return serverListAgeByNode;
     }
 
-    /** Returns the prompt tokens that servers were told to fetch from others, by second. */
+    /** Returns the number of prompt tokens that servers were told to fetch from other servers, by second. */
     Timeline fetchedTokens() {
         return fetchedTokens;
     }
--- a/cli/src/main/java/org/tanagerhinge/cli/report/ReportPage.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/report/ReportPage.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 import org.tanagerhinge.cli.trace.LogFile;
 
-/** A page of HTML that needs nothing beside it: plots, and a table of what happened when. */
+/** Renders a self-contained HTML report with plots and a table of events. */
 public final class ReportPage {
-    /** Rows of the table at the most: a fleet that starts tells more than anybody reads. */
+    /** Maximum number of rows in the event table; a starting fleet logs far more events. */
     private static final int MAX_EVENT_ROWS = 400;
 
     private static final String STYLE = "body{font:15px/1.45 system-ui,sans-serif;max-width:960px;margin:2em auto;"
@@ -17,7 +17,7 @@
 
     private ReportPage() {}
 
-    /** Returns the page of some logs; nothing if no line of theirs tells of an event. */
+    /** Returns the report of the logs as HTML; empty if no line has an event. */
     public static Optional<String> of(String title, List<LogFile> logs) {
         return ReportData.of(logs).map(data -> render(title, data));
     }
@@ -29,34 +29,34 @@
                 .append("</title><style>")
                 .append(STYLE);
         html.append("</style></head><body>\n<h1>").append(escapeHtml(title)).append("</h1>\n<p>");
-        html.append(data.lineCount()).append(" lines; seconds count from the first of them.");
+        html.append(data.lineCount()).append(" lines; seconds count from the first line.");
         if (data.excludedLineCount() > 0) {
-            html.append(' ').append(data.excludedLineCount()).append(" lines of clocks that are far off are left out.");
+            html.append(' ').append(data.excludedLineCount()).append(" lines are excluded because their time is far from that of the others.");
         }
         html.append("</p>\n").append(outcomeTotals(data));
-        appendSection(html, "How requests ended", "By the second of their last line.", ReportPlots.outcomes(data));
+        appendSection(html, "How requests ended", "By the second of the last line of the request.", ReportPlots.outcomes(data));
         appendSection(
                 html,
-                "First events",
-                "Streams that ended in each second, by the time to their first event.",
+                "Time to first event",
+                "Percentiles over the streams that ended in each second.",
                 ReportPlots.firstEvents(data));
         appendSection(
                 html,
-                "Prompts to be read",
-                "As hosts believed when they sent there: the mean server and the one with most.",
+                "Prompt tokens to prefill",
+                "Per server, as known to the sending hosts: mean and maximum over all servers.",
                 ReportPlots.tokensToPrefill(data));
         appendSection(
-                html, "Requests at servers", "As hosts believed when they sent there.", ReportPlots.inFlight(data));
+                html, "Requests in flight at servers", "Per server, as known to the sending hosts.", ReportPlots.inFlight(data));
         appendSection(
                 html,
                 "Fetched in place of read",
                 "Prompt tokens taken from another server.",
                 ReportPlots.fetchedTokens(data));
-        appendSection(html, "Refusals by reason", "Numbers within reasons are shown as N.", ReportPlots.refusals(data));
+        appendSection(html, "Refusals by reason", "Numbers in reasons are replaced by N.", ReportPlots.refusals(data));
         appendSection(
                 html,
-                "Age of the list of servers",
-                "On which hosts decided: the mean host and the one with the oldest.",
+                "Age of the server list",
+                "When hosts routed requests: mean and maximum over all hosts.",
                 ReportPlots.serverListAge(data));
         appendFleetEvents(html, data);
         return html.append("</body></html>\n").toString();
@@ -90,7 +90,7 @@
 
     private static void appendFleetEvents(StringBuilder html, ReportData data) {
         List<ReportData.FleetEvent> events = data.fleetEvents();
-        html.append("<h2>What happened when</h2>\n<table><tr><th>second</th><th>what</th><th>hosts</th></tr>\n");
+        html.append("<h2>Events</h2>\n<table><tr><th>second</th><th>event</th><th>hosts</th></tr>\n");
         events.stream()
                 .limit(MAX_EVENT_ROWS)
                 .forEach(row -> html.append("<tr><td>")
@@ -102,7 +102,7 @@
                         .append("</td></tr>\n"));
         html.append("</table>\n");
         if (events.size() > MAX_EVENT_ROWS) {
-            html.append("<p>").append(events.size() - MAX_EVENT_ROWS).append(" more rows are left out.</p>\n");
+            html.append("<p>").append(events.size() - MAX_EVENT_ROWS).append(" more rows are omitted.</p>\n");
         }
     }
 
--- a/cli/src/main/java/org/tanagerhinge/cli/report/ReportPlots.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/report/ReportPlots.java
@@ -23,13 +23,12 @@
 import org.jfree.data.xy.XYSeriesCollection;
 import org.jfree.svg.SVGGraphics2D;
 
-/** Draws what logs come to, each plot as SVG text. */
+/** Renders the plots of a report as SVG text. */
 final class ReportPlots {
     private static final int WIDTH = 920;
     private static final int HEIGHT = 260;
-    /** Height of a bar with its label. */
     private static final int BAR_HEIGHT = 26;
-    /** Reasons of refusals that are drawn; the rarer ones would make the others unreadable. */
+    /** Maximum number of refusal reasons in the bar chart; the most frequent ones are drawn. */
     private static final int MAX_REASONS = 12;
 
     private static final List<Color> SERIES_COLOURS = List.of(
@@ -40,13 +39,13 @@
     static String outcomes(ReportData data) {
         XYSeriesCollection dataset = new XYSeriesCollection();
         data.outcomes().forEach((outcome, timeline) -> dataset.addSeries(series(outcome.label(), timeline)));
-        return lineChart(dataset, "requests a second");
+        return lineChart(dataset, "requests per second");
     }
 
     static String firstEvents(ReportData data) {
         XYSeriesCollection dataset = new XYSeriesCollection();
         for (int percentile : new int[] {50, 95}) {
-            XYSeries series = new XYSeries(percentile + " in 100 within");
+            XYSeries series = new XYSeries(percentile + "th percentile");
             for (Map.Entry<Integer, Histogram> second : data.firstEvents().entrySet()) {
                 series.add(second.getKey().doubleValue(), second.getValue().getValueAtPercentile(percentile));
             }
@@ -70,7 +69,7 @@
     static String fetchedTokens(ReportData data) {
         XYSeriesCollection dataset = new XYSeriesCollection();
         dataset.addSeries(series("fetched", data.fetchedTokens()));
-        return lineChart(dataset, "tokens a second");
+        return lineChart(dataset, "tokens per second");
     }
 
     static String refusals(ReportData data) {
@@ -92,7 +91,7 @@
         return renderSvg(chart, 70 + BAR_HEIGHT * Math.max(1, dataset.getColumnCount()));
     }
 
-    /** Draws the mean of timelines in each second, and the largest. */
+    /** Draws the mean and the maximum of the timelines in each second. */
     private static String meanAndMaximum(Collection<Timeline> timelines, String unit) {
         int length = timelines.stream().mapToInt(Timeline::length).max().orElse(0);
         XYSeriesCollection dataset = new XYSeriesCollection();
--- a/cli/src/main/java/org/tanagerhinge/cli/report/Timeline.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/report/Timeline.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Values by second from a first one on. */
+/** A growing series with one value per second, starting at second 0. */
 final class Timeline {
     private double[] values;
     private int length;
@@ -11,18 +11,18 @@
         values = new double[Math.max(1, seconds)];
     }
 
-    /** Returns a line without a value. */
+    /** Returns a timeline without values. */
     static Timeline empty() {
         return new Timeline(64);
     }
 
-    /** Adds to the value of a second. */
+    /** Adds an amount to the value of a second. */
     void add(int second, double value) {
         extendTo(second);
         values[second] += value;
     }
 
-    /** Raises the value of a second to at least one. */
+    /** Raises the value of a second to the given one if it is lower. */
     void raiseTo(int second, double value) {
         extendTo(second);
         values[second] = Math.max(values[second], value);
@@ -35,12 +35,12 @@
         length = Math.max(length, second + 1);
     }
 
-    /** Returns the seconds that have values, or had one before a later one. */
+    /** Returns the number of seconds up to the last one that has a value. */
     int length() {
         return length;
     }
 
-    /** Returns the value of a second, 0 where none was noted. */
+    /** Returns the value of a second, 0 if none was recorded. */
     double valueAt(int second) {
         return second < values.length ? values[second] : 0;
     }
--- a/cli/src/main/java/org/tanagerhinge/cli/report/package-info.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/report/package-info.java
@@ -1,2 +1,2 @@
-/** One page that shows what a fleet's logs tell of some minutes: answers, waiting, engines, refusals, and what happened. */
+/** HTML report of a fleet's logs: outcomes, latencies, server load, refusals and events by second. */
 package org.tanagerhinge.cli.report;
--- a/cli/src/main/java/org/tanagerhinge/cli/trace/LogFile.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/trace/LogFile.java
@@ -14,8 +14,10 @@
 import java.util.List;
 
 /**
- * The lines of one file, in their order. What stands before a line's first brace is left out, since collectors put the
- * host and the time there; lines without an object are passed over.
+ * The parsed JSON records of one log file, in file order.
+ *
+ * <p>Text before the first brace of a line, such as the host and time added by log collectors, is ignored. Lines without a
+ * JSON object that has an event are skipped.
  */
 public final class LogFile {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -26,7 +28,7 @@
         this.records = List.copyOf(records);
     }
 
-    /** Reads a file; bytes that are no text are shown as a mark, since a process may have ended within a line. */
+    /** Reads a log file; malformed UTF-8, such as in a line truncated by a crash, becomes replacement characters. */
     public static LogFile read(Path file) throws IOException {
         try (BufferedReader reader = new BufferedReader(new InputStreamReader(
                 Files.newInputStream(file),
@@ -35,7 +37,7 @@
         }
     }
 
-    /** Returns the log that lines make. */
+    /** Returns the log made of the given lines. */
     public static LogFile of(List<String> lines) {
         List<LogRecord> records = new ArrayList<>();
         for (String line : lines) {
@@ -50,14 +52,14 @@
                     records.add(new LogRecord(text, fields));
                 }
             } catch (JsonProcessingException e) {
-                // A line that was cut short by the end of its process, or that another program wrote.
+                // The line was truncated by the end of its process, or written by another program.
                 continue;
             }
         }
         return new LogFile(records);
     }
 
-    /** Returns the lines that could be read. */
+    /** Returns the records that could be parsed. */
     public List<LogRecord> records() {
         return records;
     }
--- a/cli/src/main/java/org/tanagerhinge/cli/trace/LogRecord.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/trace/LogRecord.java
@@ -8,20 +8,20 @@
 import org.tanagerhinge.node.log.LogField;
 
 /**
- * One line of a process's log.
+ * A structured log line of a process.
  *
- * @param text the JSON as it was written
- * @param fields its fields
+ * @param text the original JSON text
+ * @param fields the parsed fields
  */
 public record LogRecord(String text, JsonNode fields) {
     private static final Set<String> OMITTED_FIELDS = Set.of("at", "up", "node", "level", "event", LogField.ID.label());
 
-    /** Returns the time of day at which it was written, in milliseconds; clocks of two hosts may differ. */
+    /** Returns the wall-clock time of the line in milliseconds; the clocks of hosts may differ or jump. */
     public long wallClockMillis() {
         return fields.path("at").asLong();
     }
 
-    /** Returns the time since its process started, in milliseconds; it never jumps. */
+    /** Returns the time since the process started in milliseconds, from a steady clock. */
     public long uptimeMillis() {
         return fields.path("up").asLong();
     }
@@ -34,12 +34,12 @@
         return fields.path("event").asText();
     }
 
-    /** Returns a field as text, empty if the line hasn't it. */
+    /** Returns a field as text, empty if the field is missing. */
     public String text(LogField field) {
         return fields.path(field.label()).asText();
     }
 
-    /** Returns a field as a number, 0 if the line hasn't it. */
+    /** Returns a field as a number, 0 if the field is missing. */
     public long number(LogField field) {
         return fields.path(field.label()).asLong();
     }
@@ -48,7 +48,7 @@
         return fields.has(field.label());
     }
 
-    /** Returns the line as a person reads it, its time counted from another one's. */
+    /** Returns the line in human-readable form, with its time relative to a start time in wall-clock milliseconds. */
     public String format(long startMillis) {
         StringJoiner otherFields = new StringJoiner(" ");
         for (Map.Entry<String, JsonNode> field : fields.properties()) {
--- a/cli/src/main/java/org/tanagerhinge/cli/trace/RequestSummary.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/trace/RequestSummary.java
@@ -7,7 +7,7 @@
 import org.tanagerhinge.node.log.LogEvent;
 import org.tanagerhinge.node.log.LogField;
 
-/** Says in a sentence how a request ended, and why as far as its lines tell. */
+/** Summarizes in one sentence how a request ended and, if logged, why. */
 final class RequestSummary {
     private RequestSummary() {}
 
@@ -37,7 +37,7 @@
                     + meaning(end.number(LogField.CODE)) + "); " + describeExecution(end) + describeReason(end);
         }
         if (event.equals(LogEvent.ENDED.label())) {
-            return "got its whole answer with status " + end.number(LogField.STATUS) + after
+            return "got a complete response with status " + end.number(LogField.STATUS) + after
                     + (end.text(LogField.LATE).equals("true") ? describeLateness(end) : "");
         }
         if (event.equals(LogEvent.CUT.label())) {
@@ -45,27 +45,27 @@
                     + end.number(LogField.EVENT_ID) + " of its stream";
         }
         if (event.equals(LogEvent.CALLER_GONE.label())) {
-            return "was left by its caller" + after;
+            return "was abandoned by its caller" + after;
         }
-        return "has no end in these logs; the newest line is " + event
-                + ": it still runs, or its process ended without a word";
+        return "has no end in these logs; the last event is " + event
+                + ": it is still in flight, or its process terminated without logging the end";
     }
 
     private static String describeLateness(LogRecord end) {
         return end.has(LogField.FIRST_MS)
-                ? ", late: first event after " + end.number(LogField.FIRST_MS) + " ms, longest pause "
+                ? ", late: first event after " + end.number(LogField.FIRST_MS) + " ms, longest event gap "
                         + end.number(LogField.PAUSE_MS) + " ms"
                 : ", late";
     }
 
     private static String describeExecution(LogRecord end) {
         String retry = end.number(LogField.RETRY_AFTER_MS) > 0
-                ? ", the caller may come back after " + end.number(LogField.RETRY_AFTER_MS) + " ms"
+                ? ", the caller may retry after " + end.number(LogField.RETRY_AFTER_MS) + " ms"
                 : "";
         return switch (end.text(LogField.RUN)) {
             case "not_run" -> "it did not run" + retry;
-            case "complete" -> "it ran to its end";
-            default -> "whether it ran is not known";
+            case "complete" -> "it ran to completion";
+            default -> "whether it ran is unknown";
         };
     }
 
--- a/cli/src/main/java/org/tanagerhinge/cli/trace/RequestTrace.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/trace/RequestTrace.java
@@ -13,15 +13,15 @@
 import org.tanagerhinge.node.log.LogField;
 
 /**
- * One request's lines from the logs of all processes.
+ * Collects the log lines of one request from the logs of all processes.
  *
- * <p>Lines of one process stay in the order in which they were written; between processes the time of day decides, which
- * may jump, so it never changes the order within one.
+ * <p>Lines of one process keep the order in which they were written; lines of different processes are merged by wall-clock
+ * time, which may jump and therefore never reorders the lines of one process.
  */
 public final class RequestTrace {
-    /** What a process came to believe this long before a request may explain it, in milliseconds. */
+    /** How long before a request's first line events of the same process count as context. */
     private static final long CONTEXT_BEFORE_MILLIS = 5_000;
-    /** What it came to believe this long after a request's end may explain it too: a lost server is noticed late. */
+    /** How long after a request's last line events count as context; the loss of a server is detected with delay. */
     private static final long CONTEXT_AFTER_MILLIS = 2_000;
 
     private final String requestId;
@@ -43,7 +43,7 @@
         this.dropped = dropped;
     }
 
-    /** Returns what logs tell of a request. */
+    /** Returns the trace of a request from the given logs. */
     public static RequestTrace of(String requestId, List<LogFile> logs) {
         Map<String, List<List<LogRecord>>> byNode = new LinkedHashMap<>();
         int lineCount = 0;
@@ -73,7 +73,7 @@
                 requestId, mergeByTime(requestLinesByProcess), mergeByTime(contextLinesByProcess), lineCount, dropped);
     }
 
-    /** The time since a process's start falls back where the next process of the same host begins. */
+    /** Adds a line to the newest process of a host, or to a new one if the uptime has decreased. */
     private static void addToProcess(List<List<LogRecord>> processes, LogRecord line) {
         List<LogRecord> newestProcess = processes.isEmpty() ? List.of() : processes.get(processes.size() - 1);
         if (newestProcess.isEmpty()
@@ -85,7 +85,7 @@
         newestProcess.add(line);
     }
 
-    /** Returns a process's lines about a request, and those about the servers that it was sent to at the time. */
+    /** Returns a process's lines of a request, and events of its servers, peers and store around that time. */
     private static List<LogRecord> withContext(List<LogRecord> processLines, List<LogRecord> requestLines) {
         Set<String> servers = new HashSet<>();
         requestLines.forEach(line -> servers.add(line.text(LogField.SERVER)));
@@ -143,12 +143,12 @@
         return requestLines.isEmpty();
     }
 
-    /** Returns the request's own lines, in order. */
+    /** Returns the lines of the request, in order. */
     public List<LogRecord> requestLines() {
         return requestLines;
     }
 
-    /** Returns the request's lines, and what the same processes came to believe of its servers around that time. */
+    /** Returns the lines of the request, and related events that the same processes logged around that time. */
     public List<LogRecord> linesWithContext() {
         return linesWithContext;
     }
@@ -157,12 +157,12 @@
         return lineCount;
     }
 
-    /** Returns a remark on lines that the processes had to drop, empty if none. */
+    /** Returns a note on the number of lines that the processes dropped, empty if none. */
     public String dropped() {
         return dropped == 0 ? "" : "; " + dropped + " lines were dropped by the processes";
     }
 
-    /** Says in a sentence how the request ended. */
+    /** Returns one sentence on how the request ended. */
     public String summary() {
         return RequestSummary.of(requestId, requestLines) + dropped();
     }
--- a/cli/src/main/java/org/tanagerhinge/cli/trace/package-info.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/trace/package-info.java
@@ -1,2 +1,2 @@
-/** The way from a request's id to its cause, by what the processes' logs tell. */
+/** Tracing of single requests through the log files of all processes. */
 package org.tanagerhinge.cli.trace;
