--- a/cli/src/main/java/org/tanagerhinge/cli/ExplainCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ExplainCommand.java
@@ -30,13 +30,11 @@
         Optional<ResultCode> code = ResultCode.ofNumber(number);
         if (code.isEmpty()) {
             throw new CommandFailedException(
-                    ExitCode.INVALID, "result code " + number + " does not exist; 'explain' without a number lists all");
+                    ExitCode.INVALID,
+                    "result code " + number + " does not exist; 'explain' without a number lists all");
         }
         out().println(number + " " + code.get().label() + " (HTTP " + code.get().httpStatus() + "): "
                 + code.get().meaning());
-        out().println(
-                        code.get().retryable()
-                                ? "A retry after Retry-After may succeed."
-                                : "A retry does not help.");
+        out().println(code.get().retryable() ? "A retry after Retry-After may succeed." : "A retry does not help.");
     }
 }
--- a/cli/src/main/java/org/tanagerhinge/cli/Main.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/Main.java
@@ -41,7 +41,8 @@
 
     private static Cli<Object> cli() {
         CliBuilder<Object> builder = Cli.<Object>builder("tanagerhinge")
-                .withDescription("Edits profiles, sets the desired state of backend servers and shows the state of the system")
+                .withDescription(
+                        "Edits profiles, sets the desired state of backend servers and shows the state of the system")
                 .withDefaultCommand(Help.class)
                 .withCommands(
                         Help.class, StatusCommand.class, ExplainCommand.class, TraceCommand.class, ReportCommand.class);
--- a/cli/src/main/java/org/tanagerhinge/cli/PlatformCommand.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/PlatformCommand.java
@@ -50,7 +50,8 @@
         String url = platformUrl != null ? platformUrl : System.getenv(PLATFORM_URL_VARIABLE);
         if (url == null) {
             throw new CommandFailedException(
-                    ExitCode.USAGE, "no URL of the platform's key-value service: pass --platform URL or set " + PLATFORM_URL_VARIABLE);
+                    ExitCode.USAGE,
+                    "no URL of the platform's key-value service: pass --platform URL or set " + PLATFORM_URL_VARIABLE);
         }
         return ConfigStore.in(EtcdStore.at(httpClient(), url, STORE_CALL_TIMEOUT));
     }
--- a/cli/src/main/java/org/tanagerhinge/cli/ProfileCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ProfileCommands.java
@@ -69,8 +69,9 @@
     /** Replaces the profiles and workspaces with those of a file. */
     @Command(
             name = "apply",
-            description = "Replace the profiles and workspaces with those of a file; its \"revision\", if present, must be"
-                    + " the newest one")
+            description =
+                    "Replace the profiles and workspaces with those of a file; its \"revision\", if present, must be"
+                            + " the newest one")
     public static final class ApplyProfiles extends PlatformCommand {
         @Arguments(
                 title = "FILE",
@@ -196,8 +197,9 @@
             }
             case ConfigStore.Edit.Conflict conflict -> {
                 ProfilesDocument newest = store.read().profiles();
-                StringBuilder message = new StringBuilder("the profiles were edited concurrently and are now at revision "
-                        + newest.revision() + "; nothing was changed. Differences from the stored profiles to yours:");
+                StringBuilder message = new StringBuilder(
+                        "the profiles were edited concurrently and are now at revision " + newest.revision()
+                                + "; nothing was changed. Differences from the stored profiles to yours:");
                 ProfileDiff.between(newest, desired)
                         .forEach(line -> message.append("\n  ").append(line));
                 throw new CommandFailedException(ExitCode.CONFLICT, message.toString());
--- a/cli/src/main/java/org/tanagerhinge/cli/ServerCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ServerCommands.java
@@ -115,7 +115,9 @@
     }
 
     /** Sets the desired state of a backend server to leaving. */
-    @Command(name = "leave", description = "Set a backend server to leaving: it gets no new requests and finishes those in flight")
+    @Command(
+            name = "leave",
+            description = "Set a backend server to leaving: it gets no new requests and finishes those in flight")
     public static final class LeaveServer extends PlatformCommand {
         @Arguments(title = "ID", description = "Name of the backend server")
         @Required
@@ -179,7 +181,8 @@
             }
         }
         throw new CommandFailedException(
-                ExitCode.CONFLICT, "the servers are being edited concurrently: gave up after several attempts; nothing was changed, try again");
+                ExitCode.CONFLICT,
+                "the servers are being edited concurrently: gave up after several attempts; nothing was changed, try again");
     }
 
     private static ConfigStore.Edit tryEdit(ConfigStore store, long baseRevision, UnaryOperator<ServersDocument> change)
--- a/cli/src/main/java/org/tanagerhinge/cli/report/ReportData.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/report/ReportData.java
@@ -18,8 +18,8 @@
 /**
  * Aggregates log records into per-second data for a report.
  *
- * <p>Seconds count from the earliest line, by the wall clocks of the hosts. Lines far before or after the median time are
- * excluded and counted, since one host with a wrong clock would otherwise stretch the time axis of all plots.
+ * <p>Seconds count from the earliest line, by the wall clocks of the hosts. Lines far from the median time are excluded
+ * and counted, since one host with a wrong clock would otherwise stretch the time axis of all plots.
  */
 final class ReportData {
     /** Longest time span of a report, in seconds. */
--- a/cli/src/main/java/org/tanagerhinge/cli/report/ReportPage.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/report/ReportPage.java
@@ -31,10 +31,16 @@
         html.append("</style></head><body>\n<h1>").append(escapeHtml(title)).append("</h1>\n<p>");
         html.append(data.lineCount()).append(" lines; seconds count from the first line.");
         if (data.excludedLineCount() > 0) {
-            html.append(' ').append(data.excludedLineCount()).append(" lines are excluded because their time is far from that of the others.");
+            html.append(' ')
+                    .append(data.excludedLineCount())
+                    .append(" lines are excluded because their time is far from that of the others.");
         }
         html.append("</p>\n").append(outcomeTotals(data));
-        appendSection(html, "How requests ended", "By the second of the last line of the request.", ReportPlots.outcomes(data));
+        appendSection(
+                html,
+                "How requests ended",
+                "By the second of the last line of the request.",
+                ReportPlots.outcomes(data));
         appendSection(
                 html,
                 "Time to first event",
@@ -46,11 +52,14 @@
                 "Per server, as known to the sending hosts: mean and maximum over all servers.",
                 ReportPlots.tokensToPrefill(data));
         appendSection(
-                html, "Requests in flight at servers", "Per server, as known to the sending hosts.", ReportPlots.inFlight(data));
+                html,
+                "Requests in flight at servers",
+                "Per server, as known to the sending hosts.",
+                ReportPlots.inFlight(data));
         appendSection(
                 html,
-                "Fetched in place of read",
-                "Prompt tokens taken from another server.",
+                "Prefix cache transfers",
+                "Prompt tokens fetched from another server.",
                 ReportPlots.fetchedTokens(data));
         appendSection(html, "Refusals by reason", "Numbers in reasons are replaced by N.", ReportPlots.refusals(data));
         appendSection(
--- a/cli/src/main/java/org/tanagerhinge/cli/trace/RequestTrace.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/trace/RequestTrace.java
@@ -15,8 +15,8 @@
 /**
  * Collects the log lines of one request from the logs of all processes.
  *
- * <p>Lines of one process keep the order in which they were written; lines of different processes are merged by wall-clock
- * time, which may jump and therefore never reorders the lines of one process.
+ * <p>Lines of one process keep the order in which they were written; lines of different processes are merged by
+ * wall-clock time, which may jump and therefore never reorders the lines of one process.
  */
 public final class RequestTrace {
     /** How long before a request's first line events of the same process count as context. */
--- a/cli/src/test/java/org/tanagerhinge/cli/trace/RequestTraceTest.java
+++ b/cli/src/test/java/org/tanagerhinge/cli/trace/RequestTraceTest.java
@@ -61,7 +61,7 @@
         assertTrue(summary.contains("attempt 1 at s-1 failed after 40 ms: broken, connection closed"), summary);
     }
 
-    /** Guards against sorting by wall clock, which shows a request as ended before it was sent when the clock steps back. */
+    /** Guards against sorting by wall clock: a request seems to end before it was sent when the clock steps back. */
     @Test
     void keepsTheOrderOfLinesOfOneProcessWhenItsClockStepsBack() {
         RequestTrace trace = trace(
@@ -88,7 +88,7 @@
                 trace.linesWithContext().stream().map(LogRecord::event).toList());
     }
 
-    /** Guards against comparing uptimes of different processes, which mixes in events from before a restart of the host. */
+    /** Guards against comparing uptimes of different processes, which mixes in events from before a restart. */
     @Test
     void contextExcludesAnEarlierProcessOfTheSameHost() {
         RequestTrace trace = trace(
