--- a/cli/src/main/java/org/tanagerhinge/cli/trace/LogFile.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/trace/LogFile.java
@@ -16,8 +16,8 @@
 /**
  * The parsed JSON records of one log file, in file order.
  *
- * <p>Text before the first brace of a line, such as the host and time added by log collectors, is ignored. Lines without
- * a JSON object that has an event are skipped.
+ * <p>Text before the first brace of a line, such as the host and time added by log collectors, is ignored. Lines
+ * without a JSON object that has an event are skipped.
  */
 public final class LogFile {
     private static final ObjectMapper JSON = new ObjectMapper();
