--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/LogCost.java
@@ -24,7 +24,7 @@
 import org.tanagerhinge.platform.PlatformGateway;
 import org.tanagerhinge.platform.PlatformNames;
 import org.tanagerhinge.standin.FreePorts;
-import org.tanagerhinge.standin.relay.PlatformScene;
+import org.tanagerhinge.standin.relay.PlatformFixture;
 import org.tanagerhinge.standin.relay.ServerStandin;
 import org.tanagerhinge.standin.relay.StoreStandin;
 
@@ -85,7 +85,7 @@
     private void measure() throws IOException {
         try (StoreStandin store = StoreStandin.start(0);
                 ServerStandin engine = ServerStandin.start("e-1", ServerStandin.events(EVENTS_PER_STREAM, 0))) {
-            PlatformScene scene = PlatformScene.in(store);
+            PlatformFixture scene = PlatformFixture.in(store);
             scene.host("127.0.0.1");
             scene.service("model", 8);
             scene.route("/stream/", "streaming", "model").put(PlatformNames.RESUMABLE, true);
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/StreamCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/StreamCost.java
@@ -15,7 +15,7 @@
 import org.tanagerhinge.node.daemon.HttpClients;
 import org.tanagerhinge.standin.EngineModel;
 import org.tanagerhinge.standin.load.Caller;
-import org.tanagerhinge.standin.load.Load;
+import org.tanagerhinge.standin.load.LoadGenerator;
 import org.tanagerhinge.standin.load.LoadClass;
 
 /** Measures the heap of open requests and of the configuration, and the CPU time per token of real daemons by role. */
@@ -123,7 +123,7 @@
                 Duration.ZERO,
                 Duration.ZERO,
                 Duration.ofSeconds(30));
-        try (Load generator = Load.of(client, cluster.routerUrls(), List.of(chat), seed)) {
+        try (LoadGenerator generator = LoadGenerator.of(client, cluster.routerUrls(), List.of(chat), seed)) {
             generator.run(LOAD_DURATION);
         }
     }
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/BenchMain.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/BenchMain.java
@@ -25,7 +25,7 @@
 import org.tanagerhinge.bench.cluster.LocalCluster.Kind;
 import org.tanagerhinge.bench.fleet.FleetExperiment;
 import org.tanagerhinge.core.result.TanagerhingeException;
-import org.tanagerhinge.standin.load.Ending;
+import org.tanagerhinge.standin.load.ClientOutcome;
 import org.tanagerhinge.standin.load.Tally;
 
 /** Runs the experiments from the command line and prints their results. */
@@ -199,10 +199,10 @@
                         profile,
                         tally.sentCount(),
                         tally.attainment() * 100,
-                        tally.count(Ending.WHOLE),
-                        tally.count(Ending.NOT_RUN),
-                        tally.count(Ending.UNKNOWN),
-                        tally.count(Ending.CUT),
+                        tally.count(ClientOutcome.WHOLE),
+                        tally.count(ClientOutcome.NOT_RUN),
+                        tally.count(ClientOutcome.UNKNOWN),
+                        tally.count(ClientOutcome.CUT),
                         tally.first(50).toMillis(),
                         tally.first(95).toMillis(),
                         tally.between(95).toMillis(),
@@ -227,10 +227,10 @@
         return JSON.createObjectNode()
                 .put("sent", tally.sentCount())
                 .put("attainment", tally.attainment())
-                .put("whole", tally.count(Ending.WHOLE))
-                .put("notRun", tally.count(Ending.NOT_RUN))
-                .put("unknown", tally.count(Ending.UNKNOWN))
-                .put("cut", tally.count(Ending.CUT))
+                .put("whole", tally.count(ClientOutcome.WHOLE))
+                .put("notRun", tally.count(ClientOutcome.NOT_RUN))
+                .put("unknown", tally.count(ClientOutcome.UNKNOWN))
+                .put("cut", tally.count(ClientOutcome.CUT))
                 .put("firstP95Millis", tally.first(95).toMillis())
                 .put("betweenP95Millis", tally.between(95).toMillis())
                 .put("wholeP95Millis", tally.whole(95).toMillis());
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/Experiment.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/Experiment.java
@@ -13,7 +13,7 @@
 import org.tanagerhinge.core.config.DesiredServerState;
 import org.tanagerhinge.core.result.TanagerhingeException;
 import org.tanagerhinge.node.daemon.HttpClients;
-import org.tanagerhinge.standin.load.Load;
+import org.tanagerhinge.standin.load.LoadGenerator;
 
 /** Runs one scenario once against one kind of cluster and measures it. */
 final class Experiment {
@@ -37,7 +37,7 @@
         HttpClient client = HttpClients.started("load");
         try (LocalCluster cluster = LocalCluster.create(kind)) {
             populateCluster(cluster);
-            try (Load load = Load.of(client, cluster.routerUrls(), scenario.classes(), seed)) {
+            try (LoadGenerator load = LoadGenerator.of(client, cluster.routerUrls(), scenario.classes(), seed)) {
                 scenario.faults().forEach(fault -> schedule(faultExecutor, cluster, fault));
                 load.run(duration);
                 load.audit(cluster.runs());
--- a/harness/src/main/java/org/tanagerhinge/bench/experiment/Measurement.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/experiment/Measurement.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import org.tanagerhinge.standin.load.Ending;
+import org.tanagerhinge.standin.load.ClientOutcome;
 import org.tanagerhinge.standin.load.Tally;
 
 /**
@@ -14,14 +14,14 @@
  */
 record Measurement(Map<String, Tally> tallies, long tokensComputed, double seconds, long violations) {
     int lost() {
-        return count(Ending.LOST);
+        return count(ClientOutcome.LOST);
     }
 
     int mixed() {
-        return count(Ending.MIXED);
+        return count(ClientOutcome.MIXED);
     }
 
-    int count(Ending ending) {
+    int count(ClientOutcome ending) {
         return tallies.values().stream().mapToInt(tally -> tally.count(ending)).sum();
     }
 
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/JsonCallerTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/JsonCallerTest.java
@@ -48,7 +48,7 @@
 
     @Test
     void aCallWhoseTimeEndsWhileItWaitsFailsThenAndLeavesTheOthersTheirTurn() {
-        store.mood(StoreStandin.Mood.SILENT);
+        store.faultMode(StoreStandin.FaultMode.SILENT);
         loop.execute(() -> {
             call("first", 1_000);
             call("second", 50);
@@ -56,14 +56,14 @@
         });
         RelayScene.await(() -> heard.size() == 1);
         assertEquals(List.of("second 0"), heard);
-        store.mood(StoreStandin.Mood.SERVES);
+        store.faultMode(StoreStandin.FaultMode.SERVES);
         RelayScene.await(() -> heard.size() == 3);
         assertEquals("third 200", heard.get(2));
     }
 
     @Test
     void allCallsFailWhenTheCallerIsClosed() {
-        store.mood(StoreStandin.Mood.SILENT);
+        store.faultMode(StoreStandin.FaultMode.SILENT);
         loop.execute(() -> {
             call("first", LONG_MILLIS);
             call("second", LONG_MILLIS);
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayControlTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayControlTest.java
@@ -147,7 +147,7 @@
         RelayScene.await(() -> served.configVersion() == known && next.configVersion() == known);
         String failures = "tanagerhinge_decisions_total{reason=\"store_call_failed\"}";
         assertFalse(next.metrics().text().contains(failures));
-        scene.store.sideMood(StoreStandin.Mood.SILENT);
+        scene.store.sideFaultMode(StoreStandin.FaultMode.SILENT);
         long version = scene.platform.publish();
         RelayScene.await(() -> served.configVersion() == version);
         assertFalse(next.metrics().text().contains(failures), "heard only once the next reader had given up");
@@ -178,9 +178,9 @@
         long known = scene.platform.publish();
         RelayScene.await(() -> next.configVersion() == known);
         String failures = "tanagerhinge_decisions_total{reason=\"store_call_failed\"}";
-        scene.store.sideMood(StoreStandin.Mood.SILENT);
+        scene.store.sideFaultMode(StoreStandin.FaultMode.SILENT);
         RelayScene.await(() -> next.metrics().text().contains(failures));
-        scene.store.sideMood(StoreStandin.Mood.SERVES);
+        scene.store.sideFaultMode(StoreStandin.FaultMode.SERVES);
         scene.stop(reader);
         long version = scene.platform.publish();
         RelayScene.await(() -> next.configVersion() == version);
@@ -202,7 +202,7 @@
         scene.store.silenceOpenConnections();
         long version = scene.platform.publish();
         RelayScene.await(() -> gateway.configVersion() == version);
-        assertEquals(0, scene.store.lost(PlatformNames.KEY_PATH), "asked on a connection opened before");
+        assertEquals(0, scene.store.unansweredCalls(PlatformNames.KEY_PATH), "asked on a connection opened before");
     }
 
     /**
@@ -229,16 +229,16 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = StoreStandin.Mood.class,
+            value = StoreStandin.FaultMode.class,
             names = {"BUSY", "RESETS", "SILENT"})
-    void servesOnWhileTheStoreIsAwayAndCatchesUpOnItsReturn(StoreStandin.Mood mood) throws IOException {
+    void servesOnWhileTheStoreIsAwayAndCatchesUpOnItsReturn(StoreStandin.FaultMode mood) throws IOException {
         scene.server("s-1", "plain", ServerStandin.plain(200, "x"));
         GatewayDaemon gateway = scene.gateway();
-        scene.store.mood(mood);
+        scene.store.faultMode(mood);
         assertEquals(200, status(gateway, "/safe/x"));
         long version = scene.platform.publish();
         assertTrue(gateway.ready());
-        scene.store.mood(StoreStandin.Mood.SERVES);
+        scene.store.faultMode(StoreStandin.FaultMode.SERVES);
         RelayScene.await(() -> gateway.configVersion() == version);
         assertEquals(200, status(gateway, "/safe/x"));
     }
@@ -261,7 +261,7 @@
         GatewayDaemon gateway = scene.gateway();
         try (RawCaller caller = RawCaller.to(gateway.address())) {
             caller.send(RawCaller.request("POST", "/stream/x", "a", "", "{}"));
-            RelayScene.await(() -> !server.seen().isEmpty());
+            RelayScene.await(() -> !server.receivedRequests().isEmpty());
             gateway.beginStop();
             assertFalse(gateway.ready());
             RawCaller.Answer answer = caller.read();
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayPathTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayPathTest.java
@@ -55,7 +55,7 @@
         assertEquals(200, answer.status());
         assertEquals("the body", answer.body());
         assertEquals("seal-of-s-1", answer.header(PlatformNames.SERVER_SEAL));
-        RawServer.Request seen = server.seen().get(0);
+        RawServer.Request seen = server.receivedRequests().get(0);
         assertEquals("/safe/a%20b?x=1", seen.target());
         assertEquals("POST", seen.method());
         assertEquals("{\"n\": 1}", new String(seen.body(), java.nio.charset.StandardCharsets.UTF_8));
@@ -75,7 +75,7 @@
                 + ": 1\r\n" + PlatformNames.KV_BACKUP + ": 1.2.3.4:5\r\n" + PlatformNames.KV_FROM
                 + ": 1.2.3.4:5/6\r\n" + PlatformNames.EXPECT_INSTANCE + ": s-9\r\n";
         assertEquals(200, ask(gateway, "GET", "/safe/x", forged, "").status());
-        RawServer.Request seen = server.seen().get(0);
+        RawServer.Request seen = server.receivedRequests().get(0);
         assertEquals("coop", seen.header(PlatformNames.TENANT));
         assertEquals("s-1", seen.header(PlatformNames.EXPECT_INSTANCE));
         for (String name : new String[] {
@@ -104,7 +104,7 @@
      */
     @Test
     void aGatewayWithoutAConfigurationPromisesNotToHaveRunTheRequest() throws IOException {
-        scene.store.mood(StoreStandin.Mood.BUSY);
+        scene.store.faultMode(StoreStandin.FaultMode.BUSY);
         GatewayDaemon gateway = scene.start("gateway-0", scene.store.address());
         RawCaller.Answer answer = ask(gateway, "GET", "/safe/x", "", "");
         assertEquals(503, answer.status());
@@ -127,7 +127,7 @@
             assertEquals(400, caller.exchange(text).status());
             assertTrue(caller.closed());
         }
-        assertTrue(server.seen().isEmpty());
+        assertTrue(server.receivedRequests().isEmpty());
     }
 
     @Test
@@ -138,7 +138,7 @@
         for (int i = 0; i < 4; i++) {
             assertEquals("yes", ask(gateway, "GET", "/safe/x", "", "").body());
         }
-        assertTrue(failing.seen().size() + sound.seen().size() >= 4);
+        assertTrue(failing.receivedRequests().size() + sound.receivedRequests().size() >= 4);
     }
 
     @Test
@@ -161,7 +161,7 @@
         ServerStandin second = scene.server("s-2", "plain", (server, request, connection) -> connection.reset());
         GatewayDaemon gateway = scene.gateway();
         assertEquals(502, ask(gateway, "POST", "/once/x", "", "{}").status());
-        assertEquals(1, first.seen().size() + second.seen().size());
+        assertEquals(1, first.receivedRequests().size() + second.receivedRequests().size());
     }
 
     @Test
@@ -244,8 +244,8 @@
             }
             assertEquals(expected.toString(), answer.body());
         }
-        assertFalse(cutting.seen().isEmpty());
-        assertTrue(sound.seen().stream()
+        assertFalse(cutting.receivedRequests().isEmpty());
+        assertTrue(sound.receivedRequests().stream()
                 .anyMatch(request -> request.header(PlatformNames.LAST_EVENT_ID).equals("3")));
     }
 
@@ -271,7 +271,7 @@
                 assertEquals(2, answer.body().split("id: " + event + "\n", -1).length, "event " + event + " once");
             }
         }
-        assertFalse(silent.seen().isEmpty());
+        assertFalse(silent.receivedRequests().isEmpty());
         never.countDown();
     }
 
@@ -311,7 +311,7 @@
             caller.send(RawCaller.request("POST", "/stream/x", "a", "", "{}"));
             caller.line();
         }
-        RelayScene.await(() -> server.broken() == 1);
+        RelayScene.await(() -> server.brokenResponses() == 1);
     }
 
     /**
@@ -328,7 +328,7 @@
                         + other.address().getPort() + "\",\"zone\":\"north\",\"slots\":4,\"state\":\"ready\"}");
         GatewayDaemon gateway = scene.gateway();
         assertEquals(503, ask(gateway, "POST", "/once/x", "", "{}").status());
-        assertTrue(other.seen().isEmpty());
+        assertTrue(other.receivedRequests().isEmpty());
         old.close();
         other.close();
     }
@@ -340,7 +340,7 @@
         GatewayDaemon gateway = scene.gateway();
         scene.platform.register(leaving, "plain", PlatformNames.DRAINING);
         RelayScene.await(() -> {
-            int before = leaving.seen().size();
+            int before = leaving.receivedRequests().size();
             try {
                 for (int i = 0; i < 6; i++) {
                     ask(gateway, "GET", "/safe/x", "", "");
@@ -348,7 +348,7 @@
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
-            return leaving.seen().size() == before;
+            return leaving.receivedRequests().size() == before;
         });
     }
 }
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayScene.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayScene.java
@@ -17,7 +17,7 @@
 import org.tanagerhinge.platform.PlatformGateway;
 import org.tanagerhinge.standin.FreePorts;
 import org.tanagerhinge.standin.relay.DutyStandin;
-import org.tanagerhinge.standin.relay.PlatformScene;
+import org.tanagerhinge.standin.relay.PlatformFixture;
 import org.tanagerhinge.standin.relay.ServerStandin;
 import org.tanagerhinge.standin.relay.StoreStandin;
 
@@ -26,14 +26,14 @@
     private static final Duration PATIENCE = Duration.ofSeconds(30);
 
     final StoreStandin store = StoreStandin.start(0);
-    final PlatformScene platform = PlatformScene.in(store);
+    final PlatformFixture platform = PlatformFixture.in(store);
     final DutyStandin duties = DutyStandin.start();
     private final List<ServerStandin> servers = new ArrayList<>();
     private final List<GatewayDaemon> gateways = new ArrayList<>();
     private final Map<GatewayDaemon, InetSocketAddress> peerAddresses = new HashMap<>();
 
     /** Starts a server and registers it. */
-    ServerStandin server(String id, String service, ServerStandin.Script script) {
+    ServerStandin server(String id, String service, ServerStandin.ResponseScript script) {
         ServerStandin server = ServerStandin.start(id, script);
         servers.add(server);
         platform.register(server, service, "ready");
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayTraceTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayTraceTest.java
@@ -79,7 +79,7 @@
                 RawCaller second = RawCaller.to(gateway.address())) {
             first.send(RawCaller.request("POST", "/ask/x", "urgent-1", "", ""));
             second.send(RawCaller.request("POST", "/ask/x", "urgent-2", "", ""));
-            RelayScene.await(() -> engine.seen().size() == 2);
+            RelayScene.await(() -> engine.receivedRequests().size() == 2);
             Thread.sleep(2 * URGENT_TARGET_MILLIS);
             assertEquals(503, ask(gateway, "POST", "/plan/x", "plan-refused").status());
         } finally {
@@ -133,7 +133,7 @@
         scene.server("s-2", "plain", ServerStandin.plain(200, "x"));
         GatewayDaemon gateway = scene.gateway();
         int tries = 0;
-        while (bad.seen().isEmpty()) {
+        while (bad.receivedRequests().isEmpty()) {
             assertEquals(200, ask(gateway, "GET", "/safe/x", "safe-" + tries).status());
             tries++;
         }
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RequestThatEndsServersTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RequestThatEndsServersTest.java
@@ -77,7 +77,7 @@
 
     private long ends() {
         return servers.stream()
-                .flatMap(server -> server.seen().stream())
+                .flatMap(server -> server.receivedRequests().stream())
                 .filter(request -> new String(request.body(), StandardCharsets.UTF_8).equals(POISON))
                 .count();
     }
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/ServersWordTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/ServersWordTest.java
@@ -60,20 +60,20 @@
 
     /** Sends requests until a server has been reached. */
     private void reach(GatewayDaemon gateway, ServerStandin server, String path) throws IOException {
-        for (int i = 0; i < REQUESTS && server.seen().isEmpty(); i++) {
+        for (int i = 0; i < REQUESTS && server.receivedRequests().isEmpty(); i++) {
             ask(gateway, path);
         }
-        assertFalse(server.seen().isEmpty(), "the server was never reached");
+        assertFalse(server.receivedRequests().isEmpty(), "the server was never reached");
     }
 
-    private static ServerStandin.Script answering(int status, String lines) {
+    private static ServerStandin.ResponseScript answering(int status, String lines) {
         return (server, request, connection) -> connection.answer(status, server.headers(request) + lines, "x");
     }
 
     static Stream<Arguments> answersThatSayThatAServerLeaves() {
-        ServerStandin.Script refusal = (server, request, connection) ->
+        ServerStandin.ResponseScript refusal = (server, request, connection) ->
                 connection.answer(503, PlatformNames.NOT_EXECUTED + ": 1\r\n" + LEAVING, "");
-        ServerStandin.Script stream = (server, request, connection) -> {
+        ServerStandin.ResponseScript stream = (server, request, connection) -> {
             connection.write("HTTP/1.1 200 OK\r\n" + server.headers(request) + LEAVING
                     + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
             ServerStandin.writeEvent(connection, 1);
@@ -89,17 +89,17 @@
 
     @ParameterizedTest
     @MethodSource("answersThatSayThatAServerLeaves")
-    void aServerThatSaysThatItLeavesGetsNoMoreRequests(String path, String service, ServerStandin.Script leaves)
+    void aServerThatSaysThatItLeavesGetsNoMoreRequests(String path, String service, ServerStandin.ResponseScript leaves)
             throws IOException {
         ServerStandin leaving = scene.server("s-1", service, leaves);
         scene.server("s-2", service, service.equals("model") ? ServerStandin.events(1, 1) : answering(200, ""));
         GatewayDaemon gateway = scene.gateway();
         reach(gateway, leaving, path);
-        int before = leaving.seen().size();
+        int before = leaving.receivedRequests().size();
         for (int i = 0; i < REQUESTS; i++) {
             assertEquals(200, ask(gateway, path).status());
         }
-        assertEquals(before, leaving.seen().size());
+        assertEquals(before, leaving.receivedRequests().size());
     }
 
     /** Registrations lapse while the store is away and come back as they were, before the server could report anything. */
@@ -113,11 +113,11 @@
         awaitServersRead();
         scene.platform.register(leaving, "plain", "ready");
         awaitServersRead();
-        int before = leaving.seen().size();
+        int before = leaving.receivedRequests().size();
         for (int i = 0; i < REQUESTS; i++) {
             assertEquals(200, ask(gateway, "/safe/x").status());
         }
-        assertEquals(before, leaving.seen().size());
+        assertEquals(before, leaving.receivedRequests().size());
     }
 
     /** Waits until the gateway has asked for the servers twice; once in the meantime it may have asked for its peers. */
@@ -134,7 +134,7 @@
         RawCaller.Answer answer = ask(gateway, "/once/x");
         assertEquals(503, answer.status());
         assertFalse(answer.header("Retry-After").isEmpty());
-        assertEquals(1, leaving.seen().size());
+        assertEquals(1, leaving.receivedRequests().size());
     }
 
     @Test
@@ -144,12 +144,12 @@
         GatewayDaemon one = scene.gateway();
         GatewayDaemon other = scene.gateway();
         reach(one, leaving, "/safe/x");
-        int before = leaving.seen().size();
+        int before = leaving.receivedRequests().size();
         RelayScene.await(() -> other.metrics().text().contains("reason=\"server_leaving_heard\""));
         for (int i = 0; i < REQUESTS; i++) {
             assertEquals(200, ask(other, "/safe/x").status());
         }
-        assertEquals(before, leaving.seen().size());
+        assertEquals(before, leaving.receivedRequests().size());
     }
 
     /**
@@ -158,19 +158,19 @@
      */
     @ParameterizedTest
     @MethodSource("refusalsWithATime")
-    void aServerThatTurnsRequestsAwayForATimeGetsNoneUntilThen(ServerStandin.Script refusal) throws IOException {
+    void aServerThatTurnsRequestsAwayForATimeGetsNoneUntilThen(ServerStandin.ResponseScript refusal) throws IOException {
         ServerStandin busy = scene.server("s-1", "plain", refusal);
         scene.server("s-2", "plain", answering(200, ""));
         GatewayDaemon gateway = scene.gateway();
         reach(gateway, busy, "/safe/x");
-        int before = busy.seen().size();
+        int before = busy.receivedRequests().size();
         for (int i = 0; i < REQUESTS; i++) {
             assertEquals(200, ask(gateway, "/safe/x").status());
         }
-        assertEquals(before, busy.seen().size());
+        assertEquals(before, busy.receivedRequests().size());
     }
 
-    static Stream<ServerStandin.Script> refusalsWithATime() {
+    static Stream<ServerStandin.ResponseScript> refusalsWithATime() {
         return Stream.of(
                 (server, request, connection) ->
                         connection.answer(503, PlatformNames.NOT_EXECUTED + ": 1\r\nRetry-After: 600\r\n", ""),
@@ -190,7 +190,7 @@
         assertEquals(503, answer.status());
         double wait = Double.parseDouble(answer.header("Retry-After"));
         assertTrue(wait > 0 && wait <= 2.6, "told to come back in " + wait + " s");
-        assertEquals(1, busy.seen().size());
+        assertEquals(1, busy.receivedRequests().size());
         busy.script(answering(200, ""));
         RelayScene.await(() -> {
             try {
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/UsageReportsTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/UsageReportsTest.java
@@ -97,7 +97,7 @@
         "/stream/, 0, true"
     })
     void whatAServerBeganCountsHoweverItEnded(String path, int status, boolean began) throws IOException {
-        ServerStandin.Script script = switch (status) {
+        ServerStandin.ResponseScript script = switch (status) {
             case 0 -> (server, request, connection) -> connection.reset();
             case 503 -> ServerStandin.refusing();
             default -> ServerStandin.plain(status, "no");
@@ -132,29 +132,29 @@
     /** The store answers nobody for a while: reports stop, and none is sent twice with different counts when it is back. */
     @ParameterizedTest
     @CsvSource({"BUSY", "SILENT", "RESETS"})
-    void reportsGoOnAfterTheStoreWasAway(StoreStandin.Mood mood) throws IOException, InterruptedException {
+    void reportsGoOnAfterTheStoreWasAway(StoreStandin.FaultMode mood) throws IOException, InterruptedException {
         scene.server("s-1", "plain", ServerStandin.plain(200, "body"));
         GatewayDaemon first = gateway("a");
         gateway("b");
         RelayScene.await(() -> !holders().isEmpty());
         ask(first, "/safe/1", 5);
-        scene.store.mood(mood);
+        scene.store.faultMode(mood);
         Thread.sleep(WINDOW.toMillis());
         ask(first, "/safe/1", 5);
-        scene.store.mood(StoreStandin.Mood.SERVES);
+        scene.store.faultMode(StoreStandin.FaultMode.SERVES);
         RelayScene.await(() -> reported() == 10);
     }
 
     /** A report without an answer is sent again as it was. */
     @ParameterizedTest
     @CsvSource({"BUSY", "SILENT"})
-    void aReportThatHadNoAnswerIsSentAgain(DutyStandin.Mood mood) throws IOException, InterruptedException {
+    void aReportThatHadNoAnswerIsSentAgain(DutyStandin.FaultMode mood) throws IOException, InterruptedException {
         scene.server("s-1", "plain", ServerStandin.plain(200, "body"));
         GatewayDaemon gateway = gateway("a");
-        scene.duties.mood(mood);
+        scene.duties.faultMode(mood);
         ask(gateway, "/safe/1", 5);
         Thread.sleep(2 * WINDOW.toMillis());
-        scene.duties.mood(DutyStandin.Mood.SERVES);
+        scene.duties.faultMode(DutyStandin.FaultMode.SERVES);
         RelayScene.await(() -> reported() == 5);
     }
 }
--- a/standin/src/main/java/org/tanagerhinge/standin/Sequence.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/AnswerSequence.java
@@ -11,8 +11,8 @@
 import org.eclipse.jetty.util.IteratingCallback;
 
 /** One answer that the stand-in engine is computing, and its stream to the client. */
-final class Sequence extends IteratingCallback {
-    private static final int MOST_UNSENT = 64;
+final class AnswerSequence extends IteratingCallback {
+    private static final int MAX_UNSENT_EVENTS = 64;
 
     private final StandinServer.Exchange exchange;
     private final String model;
@@ -22,21 +22,21 @@
     private final int promptTokens;
     private final int priority;
     private final int length;
-    private final int most;
+    private final int maxLength;
     private final boolean resumed;
     private final Deque<byte[]> unsent = new ArrayDeque<>();
-    private int next;
-    private long prefillLeft;
+    private int nextIndex;
+    private long remainingPrefillTokens;
     private boolean ended;
     private boolean written;
-    private volatile boolean gone;
+    private volatile boolean clientGone;
 
-    Sequence(JsonNode request, StandinServer.Exchange exchange, EngineModel engine) {
+    AnswerSequence(JsonNode request, StandinServer.Exchange exchange, EngineModel engine) {
         this.exchange = exchange;
         this.model = request.path("model").asText();
         JsonNode messages = request.path("messages");
         String lastUser = "";
-        String soFar = "";
+        String partialAnswer = "";
         int chars = 0;
         for (JsonNode each : messages) {
             String content = each.path("content").asText();
@@ -46,7 +46,7 @@
             }
         }
         if (request.path("continue_final_message").asBoolean(false)) {
-            soFar = messages.get(messages.size() - 1).path("content").asText();
+            partialAnswer = messages.get(messages.size() - 1).path("content").asText();
         }
         this.message = lastUser;
         this.mark = Answers.mark(lastUser);
@@ -54,9 +54,9 @@
         this.promptTokens = Math.max(1, chars / 4);
         this.priority = request.path("priority").asInt(0);
         this.length = Answers.length(lastUser, engine);
-        this.resumed = !soFar.isEmpty();
-        this.next = soFar.isEmpty() ? 0 : soFar.split(" ").length;
-        this.most = next + request.path("max_tokens").asInt(Integer.MAX_VALUE / 2);
+        this.resumed = !partialAnswer.isEmpty();
+        this.nextIndex = partialAnswer.isEmpty() ? 0 : partialAnswer.split(" ").length;
+        this.maxLength = nextIndex + request.path("max_tokens").asInt(Integer.MAX_VALUE / 2);
     }
 
     String mark() {
@@ -79,26 +79,26 @@
         return priority;
     }
 
-    long prefillLeft() {
-        return prefillLeft;
+    long remainingPrefillTokens() {
+        return remainingPrefillTokens;
     }
 
-    void prefillLeft(long tokens) {
-        prefillLeft = tokens;
+    void remainingPrefillTokens(long tokens) {
+        remainingPrefillTokens = tokens;
     }
 
     /** Returns tokens held in the KV memory. */
     long kvTokens() {
-        return promptTokens + next;
+        return promptTokens + nextIndex;
     }
 
-    boolean gone() {
-        return gone;
+    boolean clientGone() {
+        return clientGone;
     }
 
     /** Returns whether the client is so far behind that computing more would pile up. */
     synchronized boolean clientBehind() {
-        return unsent.size() >= MOST_UNSENT;
+        return unsent.size() >= MAX_UNSENT_EVENTS;
     }
 
     void begin() {
@@ -109,21 +109,21 @@
     /** Computes the next token; returns whether the answer has ended. */
     boolean step() {
         StringBuilder event = new StringBuilder();
-        if (next < length) {
-            event.append(chunk(Answers.token(mark, next, length), null));
-            next++;
+        if (nextIndex < length) {
+            event.append(chunk(Answers.token(mark, nextIndex, length), null));
+            nextIndex++;
         }
-        boolean stop = next >= length;
-        boolean cutOff = next >= most;
-        if (stop || cutOff) {
+        boolean stop = nextIndex >= length;
+        boolean limitReached = nextIndex >= maxLength;
+        if (stop || limitReached) {
             event.append(chunk("", stop ? "stop" : "length")).append("data: [DONE]\n\n");
         }
         synchronized (this) {
             unsent.add(event.toString().getBytes(StandardCharsets.UTF_8));
-            ended = stop || cutOff;
+            ended = stop || limitReached;
         }
         iterate();
-        return stop || cutOff;
+        return stop || limitReached;
     }
 
     private String chunk(String content, String finish) {
@@ -135,7 +135,7 @@
 
     /** Breaks the stream off, as a crash would. */
     void crash() {
-        gone = true;
+        clientGone = true;
         abort(new IOException("the engine crashed"));
         exchange.callback().failed(new IOException("the engine crashed"));
     }
@@ -167,7 +167,7 @@
 
     @Override
     protected void onCompleteFailure(Throwable cause) {
-        gone = true;
+        clientGone = true;
         exchange.callback().failed(cause);
     }
 
--- a/standin/src/main/java/org/tanagerhinge/standin/Answers.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/Answers.java
@@ -15,8 +15,8 @@
  * {@code 1 2 3 ...}, one a token, then {@code end} when the engine stops of itself.
  */
 public final class Answers {
-    private static final int DIGITS = 12;
-    private static final Pattern LENGTH = Pattern.compile("\\[length ([0-9]+)]");
+    private static final int HASH_DIGITS = 12;
+    private static final Pattern LENGTH_DIRECTIVE = Pattern.compile("\\[length ([0-9]+)]");
 
     private Answers() {}
 
@@ -24,7 +24,7 @@
     public static String mark(String message) {
         try {
             byte[] hash = MessageDigest.getInstance("SHA-256").digest(message.getBytes(StandardCharsets.UTF_8));
-            return "#" + HexFormat.of().formatHex(hash).substring(0, DIGITS);
+            return "#" + HexFormat.of().formatHex(hash).substring(0, HASH_DIGITS);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every JDK has SHA-256", e);
         }
@@ -40,13 +40,13 @@
 
     /** Returns the length of the answer to a message: as the message asks, else drawn from its hash. */
     static int length(String message, EngineModel model) {
-        Matcher asked = LENGTH.matcher(message);
-        if (asked.find()) {
-            return Math.max(2, Integer.parseInt(asked.group(1)));
+        Matcher directive = LENGTH_DIRECTIVE.matcher(message);
+        if (directive.find()) {
+            return Math.max(2, Integer.parseInt(directive.group(1)));
         }
-        double z = new Random(mark(message).hashCode()).nextGaussian();
-        double length = model.medianLength() * Math.exp(model.lengthSigma() * z);
-        return (int) Math.max(2, Math.min(model.mostLength(), length));
+        double gaussian = new Random(mark(message).hashCode()).nextGaussian();
+        double length = model.medianLength() * Math.exp(model.lengthSigma() * gaussian);
+        return (int) Math.max(2, Math.min(model.maxLength(), length));
     }
 
     /** What a client finds wrong with an answer. */
--- a/standin/src/main/java/org/tanagerhinge/standin/DemoCommands.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/DemoCommands.java
@@ -21,8 +21,8 @@
 import org.tanagerhinge.core.id.KeyDigest;
 import org.tanagerhinge.node.daemon.HttpClients;
 import org.tanagerhinge.standin.load.Caller;
-import org.tanagerhinge.standin.load.Ending;
-import org.tanagerhinge.standin.load.Load;
+import org.tanagerhinge.standin.load.ClientOutcome;
+import org.tanagerhinge.standin.load.LoadGenerator;
 import org.tanagerhinge.standin.load.LoadClass;
 import org.tanagerhinge.standin.load.Tally;
 
@@ -30,8 +30,8 @@
 final class DemoCommands {
     static final String MODEL = "tanager-8b";
     static final String SERVICE = "jobs";
-    private static final Duration AWAIT = Duration.ofSeconds(40);
-    private static final Duration PAUSE = Duration.ofMillis(100);
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(40);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
     private static final List<Caller> CALLERS = List.of(
             new Caller("salon-umea", "sk-demo-umea", 3),
             new Caller("salon-lulea", "sk-demo-lulea", 1),
@@ -48,14 +48,14 @@
         @Override
         public void run() {
             HttpClient client = HttpClients.started("await");
-            long until = System.nanoTime() + AWAIT.toNanos();
+            long deadlineNanos = System.nanoTime() + AWAIT_TIMEOUT.toNanos();
             for (String url : urls) {
-                while (!answers(client, url)) {
-                    if (System.nanoTime() > until) {
+                while (!respondsOk(client, url)) {
+                    if (System.nanoTime() > deadlineNanos) {
                         System.err.println(url + " does not answer");
                         System.exit(1);
                     }
-                    pause(PAUSE);
+                    sleep(POLL_INTERVAL);
                 }
             }
             System.exit(0);
@@ -94,9 +94,9 @@
         public void run() {
             ObjectNode root = StandinServer.JSON.createObjectNode();
             ArrayNode profiles = root.putArray("profiles");
-            profile(profiles, "card", 1, false, 800, 6000, 20_000, 30);
-            profile(profiles, "chat", 2, true, 1000, 8000, 20_000, 20);
-            profile(profiles, "status", 3, false, 0, 1500, 10_000, 20);
+            addProfile(profiles, "card", 1, false, 800, 6000, 20_000, 30);
+            addProfile(profiles, "chat", 2, true, 1000, 8000, 20_000, 20);
+            addProfile(profiles, "status", 3, false, 0, 1500, 10_000, 20);
             ArrayNode workspaces = root.putArray("workspaces");
             for (Caller caller : CALLERS) {
                 ObjectNode node = workspaces.addObject().put("name", caller.workspace());
@@ -106,23 +106,23 @@
             System.exit(0);
         }
 
-        private static void profile(
+        private static void addProfile(
                 ArrayNode profiles,
                 String name,
                 int tier,
                 boolean idempotent,
-                int first,
-                int whole,
-                int deadline,
-                int share) {
+                int firstTargetMillis,
+                int completionTargetMillis,
+                int deadlineMillis,
+                int sharePercent) {
             profiles.addObject()
                     .put("name", name)
                     .put("tier", tier)
                     .put("idempotent", idempotent)
-                    .put("firstTokenTargetMillis", first)
-                    .put("wholeTargetMillis", whole)
-                    .put("deadlineMillis", deadline)
-                    .put("sharePercent", share);
+                    .put("firstTokenTargetMillis", firstTargetMillis)
+                    .put("wholeTargetMillis", completionTargetMillis)
+                    .put("deadlineMillis", deadlineMillis)
+                    .put("sharePercent", sharePercent);
         }
     }
 
@@ -141,48 +141,48 @@
         @Override
         public void run() {
             HttpClient client = HttpClients.started("load");
-            try (Load load = Load.of(client, routers, classes(), 1)) {
+            try (LoadGenerator load = LoadGenerator.of(client, routers, classes(), 1)) {
                 load.run(Duration.ofSeconds(seconds));
                 load.audit(runs(client, backends));
-                System.exit(report(load.tallies()) ? 0 : 1);
+                System.exit(printResults(load.tallies()) ? 0 : 1);
             }
         }
 
         private static List<LoadClass> classes() {
             return List.of(
-                    load("card", "", 8, 60, true, false, 800, 6000, 20),
-                    load("chat", "", 12, 40, false, true, 1000, 8000, 20),
-                    load("status", SERVICE, 20, 1, true, false, 0, 1500, 10));
+                    loadClass("card", "", 8, 60, true, false, 800, 6000, 20),
+                    loadClass("chat", "", 12, 40, false, true, 1000, 8000, 20),
+                    loadClass("status", SERVICE, 20, 1, true, false, 0, 1500, 10));
         }
 
-        private static LoadClass load(
+        private static LoadClass loadClass(
                 String profile,
                 String service,
-                double rate,
-                int length,
+                double requestsPerSecond,
+                int medianLength,
                 boolean keyed,
                 boolean idempotent,
-                int first,
-                int whole,
-                int deadline) {
+                int firstTargetMillis,
+                int completionTargetMillis,
+                int deadlineSeconds) {
             return new LoadClass(
                     profile,
                     service,
                     MODEL,
-                    List.of(new LoadClass.Rate(Duration.ZERO, rate)),
+                    List.of(new LoadClass.Rate(Duration.ZERO, requestsPerSecond)),
                     CALLERS,
                     400,
-                    length,
+                    medianLength,
                     0.6,
                     300,
                     keyed,
                     idempotent,
-                    Duration.ofMillis(first),
-                    Duration.ofMillis(whole),
-                    Duration.ofSeconds(deadline));
+                    Duration.ofMillis(firstTargetMillis),
+                    Duration.ofMillis(completionTargetMillis),
+                    Duration.ofSeconds(deadlineSeconds));
         }
 
-        private static boolean report(Map<String, Tally> tallies) {
+        private static boolean printResults(Map<String, Tally> tallies) {
             boolean clean = true;
             System.out.println(
                     "profile   sent  whole  not run  unknown  cut  lost  mixed  doubled  repeats  attainment  first p95");
@@ -193,12 +193,12 @@
                         "%-8s %5d  %5d  %7d  %7d  %3d  %4d  %5d  %7d  %7d  %9.1f%%  %6d ms",
                         each.getKey(),
                         tally.sentCount(),
-                        tally.count(Ending.WHOLE),
-                        tally.count(Ending.NOT_RUN),
-                        tally.count(Ending.UNKNOWN),
-                        tally.count(Ending.CUT),
-                        tally.count(Ending.LOST),
-                        tally.count(Ending.MIXED),
+                        tally.count(ClientOutcome.WHOLE),
+                        tally.count(ClientOutcome.NOT_RUN),
+                        tally.count(ClientOutcome.UNKNOWN),
+                        tally.count(ClientOutcome.CUT),
+                        tally.count(ClientOutcome.LOST),
+                        tally.count(ClientOutcome.MIXED),
                         tally.doubledCount(),
                         tally.repeats(),
                         tally.attainment() * 100,
@@ -206,7 +206,7 @@
                 if (!tally.codes().isEmpty()) {
                     System.out.println("         result codes told: " + tally.codes());
                 }
-                clean &= tally.clean() && tally.count(Ending.CUT) == 0;
+                clean &= tally.clean() && tally.count(ClientOutcome.CUT) == 0;
             }
             System.out.println(clean ? "nothing lost, doubled, mixed up or cut" : "NOT CLEAN");
             return clean;
@@ -231,7 +231,7 @@
         return runs;
     }
 
-    private static boolean answers(HttpClient client, String url) {
+    private static boolean respondsOk(HttpClient client, String url) {
         try {
             return client.newRequest(url).timeout(2, TimeUnit.SECONDS).send().getStatus() == 200;
         } catch (ExecutionException | TimeoutException e) {
@@ -242,9 +242,9 @@
         }
     }
 
-    private static void pause(Duration length) {
+    private static void sleep(Duration duration) {
         try {
-            Thread.sleep(length.toMillis());
+            Thread.sleep(duration.toMillis());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/standin/src/main/java/org/tanagerhinge/standin/EngineModel.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/EngineModel.java
@@ -6,23 +6,23 @@
  * @param baseMillis time of a step with nothing in the batch
  * @param perSequenceMillis what each running sequence adds to a step
  * @param prefillTokensPerMilli prompt tokens read in a millisecond, which lengthens the step they are read in
- * @param mostSequences sequences in the batch at the most
+ * @param maxSequences maximum number of sequences in the batch
  * @param kvTokens tokens that the KV memory holds
  * @param prefixTokens tokens that the prefix cache holds
  * @param medianLength median answer length in tokens
  * @param lengthSigma sigma of the log-normal answer length
- * @param mostLength longest answer
+ * @param maxLength maximum answer length in tokens
  */
 public record EngineModel(
         double baseMillis,
         double perSequenceMillis,
         double prefillTokensPerMilli,
-        int mostSequences,
+        int maxSequences,
         long kvTokens,
         long prefixTokens,
         int medianLength,
         double lengthSigma,
-        int mostLength) {
+        int maxLength) {
     /** Returns figures of a small engine: 12 ms a step, 0.6 ms for each of up to 24 sequences. */
     public static EngineModel small() {
         return new EngineModel(12, 0.6, 20, 24, 60_000, 40_000, 40, 0.7, 400);
@@ -34,7 +34,7 @@
                 baseMillis,
                 perSequenceMillis,
                 prefillTokensPerMilli,
-                mostSequences,
+                maxSequences,
                 kvTokens,
                 prefixTokens,
                 median,
--- a/standin/src/main/java/org/tanagerhinge/standin/EngineStandin.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/EngineStandin.java
@@ -25,36 +25,36 @@
  */
 public final class EngineStandin implements AutoCloseable {
     private static final double NANOS_PER_MILLI = 1e6;
-    private static final long IDLE_NANOS = 1_000_000;
+    private static final long IDLE_PARK_NANOS = 1_000_000;
     private static final int REPORT_LAG_STEPS = 50;
-    private static final int MOST_PREFILL_TOKENS_PER_STEP = 512;
+    private static final int MAX_PREFILL_TOKENS_PER_STEP = 512;
 
     private final EngineModel model;
     private final StandinServer server;
     private final Thread stepper;
-    private final PriorityQueue<Waiting> waiting = new PriorityQueue<>(
-            Comparator.comparingInt((Waiting each) -> each.sequence().priority())
-                    .thenComparingLong(Waiting::number));
-    private final List<Sequence> batch = new ArrayList<>();
+    private final PriorityQueue<QueuedSequence> waiting = new PriorityQueue<>(
+            Comparator.comparingInt((QueuedSequence each) -> each.sequence().priority())
+                    .thenComparingLong(QueuedSequence::number));
+    private final List<AnswerSequence> batch = new ArrayList<>();
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
     private final AtomicLong tokens = new AtomicLong();
-    private final LinkedHashMap<String, Integer> prefixes = new LinkedHashMap<>(16, 0.75f, true);
-    private long numbers;
-    private long prefixTokens;
+    private final LinkedHashMap<String, Integer> prefixCache = new LinkedHashMap<>(16, 0.75f, true);
+    private long nextNumber;
+    private long cachedPrefixTokens;
     private volatile double slowdown = 1;
     private volatile boolean stalled;
-    private volatile long crashedUntil;
+    private volatile long crashedUntilNanos;
     private volatile String fatalMark = "";
-    private volatile long fatalMillis;
+    private volatile long fatalCrashMillis;
     private volatile boolean closed;
     private volatile String laggedReport = "{}";
 
-    private record Waiting(Sequence sequence, long number) {}
+    private record QueuedSequence(AnswerSequence sequence, long number) {}
 
     private EngineStandin(int port, EngineModel model) {
         this.model = model;
-        this.server = StandinServer.start(port, "engine-standin", this::answer);
-        this.stepper = Thread.ofPlatform().name("engine-steps").daemon().start(this::run);
+        this.server = StandinServer.start(port, "engine-standin", this::handle);
+        this.stepper = Thread.ofPlatform().name("engine-steps").daemon().start(this::runSteps);
     }
 
     /** Starts on a port of loopback; 0 takes a free one. */
@@ -89,33 +89,33 @@
 
     /** Crashes for a while whenever the message with a mark begins. */
     public void fatal(String mark, long millis) {
-        fatalMillis = millis;
+        fatalCrashMillis = millis;
         fatalMark = mark;
     }
 
     /** Breaks all answers off and takes nothing for a while. */
     public void crash(long millis) {
-        crashedUntil = System.nanoTime() + millis * 1_000_000;
+        crashedUntilNanos = System.nanoTime() + millis * 1_000_000;
         synchronized (this) {
-            batch.forEach(Sequence::crash);
+            batch.forEach(AnswerSequence::crash);
             batch.clear();
             waiting.forEach(each -> each.sequence().crash());
             waiting.clear();
-            prefixes.clear();
-            prefixTokens = 0;
+            prefixCache.clear();
+            cachedPrefixTokens = 0;
         }
     }
 
-    private void answer(String method, String path, byte[] body, StandinServer.Exchange exchange) throws IOException {
+    private void handle(String method, String path, byte[] body, StandinServer.Exchange exchange) throws IOException {
         switch (path) {
-            case "/v1/chat/completions" -> enqueue(StandinServer.tree(body), exchange);
+            case "/v1/chat/completions" -> enqueue(StandinServer.parseJson(body), exchange);
             case "/health" -> health(exchange);
             case "/load" -> exchange.text(200, "application/json", laggedReport);
             case "/standin/runs" -> exchange.json(200, StandinServer.JSON.valueToTree(runs));
             case "/standin/tokens" ->
                 exchange.json(200, StandinServer.JSON.createObjectNode().put("tokens", tokens.get()));
             case "/standin/faults" -> {
-                JsonNode node = StandinServer.tree(body);
+                JsonNode node = StandinServer.parseJson(body);
                 slowdown(node.path("slowdown").asDouble(slowdown));
                 stalled(node.path("stalled").asBoolean(stalled));
                 if (node.has("crashMillis")) {
@@ -128,7 +128,7 @@
     }
 
     private void health(StandinServer.Exchange exchange) {
-        if (System.nanoTime() < crashedUntil) {
+        if (System.nanoTime() < crashedUntilNanos) {
             exchange.abort();
         } else {
             exchange.text(200, "text/plain", "ok\n");
@@ -136,11 +136,11 @@
     }
 
     private void enqueue(JsonNode request, StandinServer.Exchange exchange) {
-        if (System.nanoTime() < crashedUntil) {
+        if (System.nanoTime() < crashedUntilNanos) {
             exchange.abort();
             return;
         }
-        Sequence sequence = new Sequence(request, exchange, model);
+        AnswerSequence sequence = new AnswerSequence(request, exchange, model);
         if (sequence.kvTokens() > model.kvTokens()) {
             ObjectNode error = StandinServer.JSON.createObjectNode();
             error.putObject("error").put("message", "the prompt is longer than the KV memory");
@@ -148,89 +148,89 @@
             return;
         }
         synchronized (this) {
-            waiting.add(new Waiting(sequence, numbers++));
+            waiting.add(new QueuedSequence(sequence, nextNumber++));
         }
         LockSupport.unpark(stepper);
     }
 
-    private void run() {
-        long due = System.nanoTime();
+    private void runSteps() {
+        long dueNanos = System.nanoTime();
         long steps = 0;
         while (!closed) {
             double millis;
             synchronized (this) {
                 admit();
-                millis = stalled || batch.isEmpty() ? 0 : compute();
+                millis = stalled || batch.isEmpty() ? 0 : computeStep();
             }
             if (millis == 0) {
-                LockSupport.parkNanos(IDLE_NANOS);
-                due = System.nanoTime();
+                LockSupport.parkNanos(IDLE_PARK_NANOS);
+                dueNanos = System.nanoTime();
                 continue;
             }
-            due += (long) (millis * slowdown * NANOS_PER_MILLI);
-            long left = due - System.nanoTime();
-            while (left > 0 && !closed) {
-                LockSupport.parkNanos(left);
-                left = due - System.nanoTime();
+            dueNanos += (long) (millis * slowdown * NANOS_PER_MILLI);
+            long remainingNanos = dueNanos - System.nanoTime();
+            while (remainingNanos > 0 && !closed) {
+                LockSupport.parkNanos(remainingNanos);
+                remainingNanos = dueNanos - System.nanoTime();
             }
             if (++steps % REPORT_LAG_STEPS == 0) {
-                report();
+                updateLoadReport();
             }
         }
     }
 
     private void admit() {
-        long used = batch.stream().mapToLong(Sequence::kvTokens).sum();
-        while (!waiting.isEmpty() && batch.size() < model.mostSequences()) {
-            Sequence first = waiting.peek().sequence();
-            if (used + first.kvTokens() > model.kvTokens()) {
+        long usedKvTokens = batch.stream().mapToLong(AnswerSequence::kvTokens).sum();
+        while (!waiting.isEmpty() && batch.size() < model.maxSequences()) {
+            AnswerSequence first = waiting.peek().sequence();
+            if (usedKvTokens + first.kvTokens() > model.kvTokens()) {
                 return;
             }
             waiting.poll();
-            used += first.kvTokens();
-            first.prefillLeft(cached(first) ? first.promptTokens() / 10 : first.promptTokens());
+            usedKvTokens += first.kvTokens();
+            first.remainingPrefillTokens(lookUpPrefix(first) ? first.promptTokens() / 10 : first.promptTokens());
             first.begin();
             if (!first.resumed()) {
                 runs.merge(first.mark(), 1, Integer::sum);
             }
             batch.add(first);
             if (first.mark().equals(fatalMark)) {
-                crash(fatalMillis);
+                crash(fatalCrashMillis);
                 return;
             }
         }
     }
 
     /** Returns whether the prefix cache holds a sequence's first message, and puts it in. */
-    private boolean cached(Sequence sequence) {
-        boolean held = prefixes.get(sequence.prefix()) != null;
-        if (!held) {
+    private boolean lookUpPrefix(AnswerSequence sequence) {
+        boolean hit = prefixCache.get(sequence.prefix()) != null;
+        if (!hit) {
             int size = sequence.prefix().length() / 4;
-            prefixes.put(sequence.prefix(), size);
-            prefixTokens += size;
-            Iterator<Integer> oldest = prefixes.values().iterator();
-            while (prefixTokens > model.prefixTokens() && oldest.hasNext()) {
-                prefixTokens -= oldest.next();
+            prefixCache.put(sequence.prefix(), size);
+            cachedPrefixTokens += size;
+            Iterator<Integer> oldest = prefixCache.values().iterator();
+            while (cachedPrefixTokens > model.prefixTokens() && oldest.hasNext()) {
+                cachedPrefixTokens -= oldest.next();
                 oldest.remove();
             }
         }
-        return held;
+        return hit;
     }
 
     /** Computes one step and returns how long it takes in milliseconds, before any slowdown. */
-    private double compute() {
+    private double computeStep() {
         double millis = model.baseMillis();
-        long prefillBudget = MOST_PREFILL_TOKENS_PER_STEP;
-        Iterator<Sequence> each = batch.iterator();
+        long prefillBudget = MAX_PREFILL_TOKENS_PER_STEP;
+        Iterator<AnswerSequence> each = batch.iterator();
         while (each.hasNext()) {
-            Sequence sequence = each.next();
-            if (sequence.gone()) {
+            AnswerSequence sequence = each.next();
+            if (sequence.clientGone()) {
                 each.remove();
-            } else if (sequence.prefillLeft() > 0) {
-                long read = Math.min(prefillBudget, sequence.prefillLeft());
-                prefillBudget -= read;
-                sequence.prefillLeft(sequence.prefillLeft() - read);
-                millis += read / model.prefillTokensPerMilli();
+            } else if (sequence.remainingPrefillTokens() > 0) {
+                long prefilled = Math.min(prefillBudget, sequence.remainingPrefillTokens());
+                prefillBudget -= prefilled;
+                sequence.remainingPrefillTokens(sequence.remainingPrefillTokens() - prefilled);
+                millis += prefilled / model.prefillTokensPerMilli();
             } else if (!sequence.clientBehind()) {
                 millis += model.perSequenceMillis();
                 tokens.incrementAndGet();
@@ -242,12 +242,12 @@
         return millis;
     }
 
-    private synchronized void report() {
+    private synchronized void updateLoadReport() {
         laggedReport = StandinServer.JSON
                 .createObjectNode()
                 .put("running", batch.size())
                 .put("waiting", waiting.size())
-                .put("kvTokens", batch.stream().mapToLong(Sequence::kvTokens).sum())
+                .put("kvTokens", batch.stream().mapToLong(AnswerSequence::kvTokens).sum())
                 .toString();
     }
 
--- a/standin/src/main/java/org/tanagerhinge/standin/FreePorts.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/FreePorts.java
@@ -16,22 +16,22 @@
  */
 public final class FreePorts {
     /** Below the range that Linux chooses from unless it is set otherwise, which begins at 32,768. */
-    private static final int FIRST = 20_000;
+    private static final int FIRST_PORT = 20_000;
 
-    private static final int COUNT = 12_000;
+    private static final int PORT_COUNT = 12_000;
     /** Processes start this far apart, so that two that draw at the same time seldom try the same port. */
-    private static final int APART = 97;
+    private static final int PROCESS_STRIDE = 97;
 
-    private static final AtomicInteger NEXT =
-            new AtomicInteger((int) (ProcessHandle.current().pid() * APART % COUNT));
+    private static final AtomicInteger NEXT_OFFSET =
+            new AtomicInteger((int) (ProcessHandle.current().pid() * PROCESS_STRIDE % PORT_COUNT));
 
     private FreePorts() {}
 
     /** Returns a port that is free for connections and datagrams; throws if there is none. */
     public static int next() throws IOException {
         IOException last = null;
-        for (int i = 0; i < COUNT; i++) {
-            int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), COUNT);
+        for (int i = 0; i < PORT_COUNT; i++) {
+            int port = FIRST_PORT + Math.floorMod(NEXT_OFFSET.getAndIncrement(), PORT_COUNT);
             try {
                 InetAddress loopback = InetAddress.getByName("127.0.0.1");
                 new ServerSocket(port, 1, loopback).close();
@@ -41,7 +41,7 @@
                 last = e;
             }
         }
-        throw new IOException("no port of " + FIRST + " to " + (FIRST + COUNT - 1) + " is free", last);
+        throw new IOException("no port of " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT - 1) + " is free", last);
     }
 
     /** Returns the address of such a port. */
--- a/standin/src/main/java/org/tanagerhinge/standin/PlatformStandin.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/PlatformStandin.java
@@ -24,12 +24,12 @@
  * {@code loseAnswers} (so many writes take effect without an answer). {@code GET /standin/calls} counts the calls.
  */
 public final class PlatformStandin implements AutoCloseable {
-    private static final int MOST_VALUE = 1 << 20;
-    private static final Duration WATCH_LIMIT = Duration.ofSeconds(30);
+    private static final int MAX_VALUE_LENGTH = 1 << 20;
+    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(30);
 
-    private record Entry(String value, long created, long modified, long lease) {}
+    private record Entry(String value, long createRevision, long modRevision, long lease) {}
 
-    private record HostState(String state, Instant at) {}
+    private record HostState(String state, Instant since) {}
 
     private final NavigableMap<String, Entry> entries = new TreeMap<>();
     private final Map<Long, Instant> leases = new HashMap<>();
@@ -45,7 +45,7 @@
     private volatile Duration hostLag = Duration.ofSeconds(5);
 
     private PlatformStandin(int port) {
-        server = StandinServer.start(port, "platform-standin", this::answer);
+        server = StandinServer.start(port, "platform-standin", this::handle);
     }
 
     /** Starts on a port of loopback; 0 takes a free one. */
@@ -78,9 +78,9 @@
         loseAnswers = writes;
     }
 
-    private void answer(String method, String path, byte[] body, StandinServer.Exchange exchange) throws IOException {
+    private void handle(String method, String path, byte[] body, StandinServer.Exchange exchange) throws IOException {
         if (path.startsWith("/standin/")) {
-            steer(path, body, exchange);
+            control(path, body, exchange);
             return;
         }
         calls.incrementAndGet();
@@ -90,13 +90,13 @@
         }
         if (slowMillis > 0) {
             CompletableFuture.delayedExecutor(slowMillis, TimeUnit.MILLISECONDS)
-                    .execute(() -> serveQuietly(path, body, exchange));
+                    .execute(() -> serveOrAbort(path, body, exchange));
             return;
         }
         serve(path, body, exchange);
     }
 
-    private void serveQuietly(String path, byte[] body, StandinServer.Exchange exchange) {
+    private void serveOrAbort(String path, byte[] body, StandinServer.Exchange exchange) {
         try {
             serve(path, body, exchange);
         } catch (IOException e) {
@@ -104,14 +104,14 @@
         }
     }
 
-    private void steer(String path, byte[] body, StandinServer.Exchange exchange) throws IOException {
+    private void control(String path, byte[] body, StandinServer.Exchange exchange) throws IOException {
         if (path.equals("/standin/faults")) {
-            JsonNode node = StandinServer.tree(body);
+            JsonNode node = StandinServer.parseJson(body);
             down = node.path("down").asBoolean(down);
             slowMillis = node.path("slowMillis").asLong(slowMillis);
             loseAnswers = node.path("loseAnswers").asInt(loseAnswers);
         } else if (path.equals("/standin/hosts")) {
-            JsonNode node = StandinServer.tree(body);
+            JsonNode node = StandinServer.parseJson(body);
             synchronized (this) {
                 node.properties()
                         .forEach(field -> hosts.put(
@@ -122,7 +122,7 @@
     }
 
     private void serve(String path, byte[] body, StandinServer.Exchange exchange) throws IOException {
-        JsonNode request = body.length == 0 ? StandinServer.JSON.createObjectNode() : StandinServer.tree(body);
+        JsonNode request = body.length == 0 ? StandinServer.JSON.createObjectNode() : StandinServer.parseJson(body);
         switch (path) {
             case "/v3/kv/range" -> exchange.json(200, range(request));
             case "/v3/kv/put" -> answerWrite(exchange, put(request));
@@ -168,23 +168,23 @@
                 .createObjectNode()
                 .put("key", encode(key))
                 .put("value", encode(entry.value()))
-                .put("create_revision", Long.toString(entry.created()))
-                .put("mod_revision", Long.toString(entry.modified()))
+                .put("create_revision", Long.toString(entry.createRevision()))
+                .put("mod_revision", Long.toString(entry.modRevision()))
                 .put("lease", Long.toString(entry.lease()));
     }
 
     private synchronized ObjectNode put(JsonNode request) {
         String key = decode(request.path("key").asText());
         String value = decode(request.path("value").asText());
-        if (value.length() > MOST_VALUE) {
+        if (value.length() > MAX_VALUE_LENGTH) {
             throw new IllegalArgumentException("value over 1 MB");
         }
         revision++;
         Entry before = entries.get(key);
-        long created = before == null ? revision : before.created();
+        long created = before == null ? revision : before.createRevision();
         entries.put(
                 key, new Entry(value, created, revision, request.path("lease").asLong(0)));
-        wake();
+        notifyWatches();
         return header();
     }
 
@@ -192,22 +192,22 @@
         Entry removed = entries.remove(decode(request.path("key").asText()));
         if (removed != null) {
             revision++;
-            wake();
+            notifyWatches();
         }
         return header().put("deleted", removed == null ? "0" : "1");
     }
 
     private synchronized ObjectNode txn(JsonNode request) {
         expireLeases();
-        boolean holds = true;
+        boolean succeeded = true;
         for (JsonNode compare : request.path("compare")) {
-            holds &= compare(compare);
+            succeeded &= compare(compare);
         }
-        ObjectNode answer = header().put("succeeded", holds);
+        ObjectNode answer = header().put("succeeded", succeeded);
         ArrayNode responses = answer.putArray("responses");
-        for (JsonNode operation : request.path(holds ? "success" : "failure")) {
-            JsonNode put = either(operation, "request_put", "requestPut");
-            JsonNode range = either(operation, "request_range", "requestRange");
+        for (JsonNode operation : request.path(succeeded ? "success" : "failure")) {
+            JsonNode put = field(operation, "request_put", "requestPut");
+            JsonNode range = field(operation, "request_range", "requestRange");
             if (!put.isMissingNode()) {
                 responses.addObject().set("response_put", put(put));
             } else if (!range.isMissingNode()) {
@@ -217,7 +217,7 @@
         return answer;
     }
 
-    private static JsonNode either(JsonNode node, String snake, String camel) {
+    private static JsonNode field(JsonNode node, String snake, String camel) {
         return node.has(snake) ? node.path(snake) : node.path(camel);
     }
 
@@ -225,10 +225,10 @@
         Entry entry = entries.get(decode(compare.path("key").asText()));
         return switch (compare.path("target").asText()) {
             case "CREATE" ->
-                (entry == null ? 0 : entry.created())
+                (entry == null ? 0 : entry.createRevision())
                         == compare.path("create_revision").asLong();
             case "MOD" ->
-                (entry == null ? 0 : entry.modified())
+                (entry == null ? 0 : entry.modRevision())
                         == compare.path("mod_revision").asLong();
             default -> throw new IllegalArgumentException("compare target " + compare.path("target"));
         };
@@ -261,27 +261,27 @@
     private void expireLeases() {
         Instant now = Instant.now();
         leases.values().removeIf(until -> until.isBefore(now));
-        boolean any = entries.values().removeIf(entry -> entry.lease() != 0 && !leases.containsKey(entry.lease()));
-        if (any) {
+        boolean expired = entries.values().removeIf(entry -> entry.lease() != 0 && !leases.containsKey(entry.lease()));
+        if (expired) {
             revision++;
-            wake();
+            notifyWatches();
         }
     }
 
-    private void wake() {
-        CompletableFuture<Void> waiting = changed;
+    private void notifyWatches() {
+        CompletableFuture<Void> completed = changed;
         changed = new CompletableFuture<>();
-        waiting.complete(null);
+        completed.complete(null);
     }
 
     private synchronized void watch(JsonNode request, StandinServer.Exchange exchange) {
-        JsonNode create = either(request, "create_request", "createRequest");
+        JsonNode create = field(request, "create_request", "createRequest");
         long since = create.path("start_revision").asLong(revision + 1);
         if (revision >= since) {
             exchange.json(200, header().put("changed", true));
             return;
         }
-        changed.orTimeout(WATCH_LIMIT.toMillis(), TimeUnit.MILLISECONDS)
+        changed.orTimeout(WATCH_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
                 .handle((done, late) -> late == null)
                 .thenAccept(any -> exchange.json(200, header().put("changed", any)));
     }
@@ -290,7 +290,7 @@
         ObjectNode answer = StandinServer.JSON.createObjectNode();
         Instant seen = Instant.now().minus(hostLag);
         hosts.forEach((host, state) -> {
-            if (state.at().isBefore(seen)) {
+            if (state.since().isBefore(seen)) {
                 answer.put(host, state.state());
             }
         });
--- a/standin/src/main/java/org/tanagerhinge/standin/ServiceStandin.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/ServiceStandin.java
@@ -16,16 +16,16 @@
     private final StandinServer server;
     private final long callMillis;
 
-    private ServiceStandin(int port, int atOnce, long callMillis) {
+    private ServiceStandin(int port, int concurrency, long callMillis) {
         this.callMillis = callMillis;
         this.workers = Executors.newFixedThreadPool(
-                atOnce, Thread.ofPlatform().name("service-standin-", 0).daemon().factory());
-        this.server = StandinServer.start(port, "service-standin", this::answer);
+                concurrency, Thread.ofPlatform().name("service-standin-", 0).daemon().factory());
+        this.server = StandinServer.start(port, "service-standin", this::handle);
     }
 
     /** Starts on a port of loopback; 0 takes a free one. */
-    public static ServiceStandin start(int port, int atOnce, long callMillis) {
-        return new ServiceStandin(port, atOnce, callMillis);
+    public static ServiceStandin start(int port, int concurrency, long callMillis) {
+        return new ServiceStandin(port, concurrency, callMillis);
     }
 
     /** Returns the base URL. */
@@ -38,7 +38,7 @@
         return runs;
     }
 
-    private void answer(String method, String path, byte[] body, StandinServer.Exchange exchange) {
+    private void handle(String method, String path, byte[] body, StandinServer.Exchange exchange) {
         if (path.equals("/standin/runs")) {
             exchange.json(200, StandinServer.JSON.valueToTree(runs));
             return;
--- a/standin/src/main/java/org/tanagerhinge/standin/StandinMain.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/StandinMain.java
@@ -35,7 +35,7 @@
         }
     }
 
-    private static void waitForEver() {
+    private static void waitForever() {
         try {
             Thread.currentThread().join();
         } catch (InterruptedException e) {
@@ -52,7 +52,7 @@
         @Override
         public void run() {
             System.out.println(PlatformStandin.start(port).url());
-            waitForEver();
+            waitForever();
         }
     }
 
@@ -65,7 +65,7 @@
         @Override
         public void run() {
             System.out.println(EngineStandin.start(port, EngineModel.small()).url());
-            waitForEver();
+            waitForever();
         }
     }
 
@@ -84,7 +84,7 @@
         @Override
         public void run() {
             System.out.println(ServiceStandin.start(port, atOnce, millis).url());
-            waitForEver();
+            waitForever();
         }
     }
 
--- a/standin/src/main/java/org/tanagerhinge/standin/StandinServer.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/StandinServer.java
@@ -19,13 +19,13 @@
 /** A small HTTP server on loopback whose handler gets path and body. */
 final class StandinServer implements AutoCloseable {
     static final ObjectMapper JSON = new ObjectMapper();
-    private static final int MOST_BODY = 8 << 20;
-    private static final int MOST_THREADS = 24;
-    private static final int LEAST_THREADS = 4;
+    private static final int MAX_BODY_BYTES = 8 << 20;
+    private static final int MAX_THREADS = 24;
+    private static final int MIN_THREADS = 4;
 
     /** Answers one call; the body has been read. */
-    interface Answerer {
-        void answer(String method, String path, byte[] body, Exchange exchange) throws IOException;
+    interface RequestHandler {
+        void handle(String method, String path, byte[] body, Exchange exchange) throws IOException;
     }
 
     /** One call's response. */
@@ -54,8 +54,8 @@
         this.connector = connector;
     }
 
-    static StandinServer start(int port, String name, Answerer answerer) {
-        QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, LEAST_THREADS);
+    static StandinServer start(int port, String name, RequestHandler handler) {
+        QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         threads.setName(name);
         threads.setDaemon(true);
         Server server = new Server(threads);
@@ -70,10 +70,10 @@
             public boolean handle(Request request, Response response, Callback callback) {
                 Content.Source.asByteArrayAsync(
                         request,
-                        MOST_BODY,
+                        MAX_BODY_BYTES,
                         Promise.Invocable.from(
                                 InvocationType.NON_BLOCKING,
-                                body -> read(answerer, body, new Exchange(request, response, callback)),
+                                body -> dispatch(handler, body, new Exchange(request, response, callback)),
                                 callback::failed));
                 return true;
             }
@@ -86,10 +86,10 @@
         return new StandinServer(server, connector);
     }
 
-    private static void read(Answerer answerer, byte[] body, Exchange exchange) {
+    private static void dispatch(RequestHandler handler, byte[] body, Exchange exchange) {
         try {
             Request request = exchange.request();
-            answerer.answer(request.getMethod(), Request.getPathInContext(request), body, exchange);
+            handler.handle(request.getMethod(), Request.getPathInContext(request), body, exchange);
         } catch (IOException | RuntimeException e) {
             exchange.callback().failed(e);
         }
@@ -103,7 +103,7 @@
         return "http://127.0.0.1:" + port();
     }
 
-    static JsonNode tree(byte[] body) throws IOException {
+    static JsonNode parseJson(byte[] body) throws IOException {
         return JSON.readTree(new String(body, StandardCharsets.UTF_8));
     }
 
--- a/standin/src/main/java/org/tanagerhinge/standin/load/Ending.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/load/ClientOutcome.java
@@ -1,7 +1,7 @@
 package org.tanagerhinge.standin.load;
 
 /** How a request ended for its caller. */
-public enum Ending {
+public enum ClientOutcome {
     /** No connection to the router; the balancer before the routers would have chosen another one. */
     UNREACHED,
     /** A whole answer to this very request. */
--- a/standin/src/main/java/org/tanagerhinge/standin/load/LoadClass.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/load/LoadClass.java
@@ -11,13 +11,13 @@
  * @param model the model that they ask
  * @param rates requests a second, each from a moment on until the next
  * @param promptChars median length of the prompt in characters
- * @param lengthMedian median answer length in tokens
+ * @param medianLength median answer length in tokens
  * @param lengthSigma sigma of the log-normal answer length
- * @param lengthMost longest answer
+ * @param maxLength maximum answer length in tokens
  * @param keyed whether each request carries an idempotency key, and is repeated under it while its fate is unknown
  * @param idempotent whether the profile lets a request run again
- * @param firstTarget time to the first token that counts as met; zero for none
- * @param wholeTarget time to the whole answer that counts as met; zero for none
+ * @param firstTarget maximum time to the first token to meet the target; zero for none
+ * @param completionTarget maximum time to the complete answer to meet the target; zero for none
  * @param deadline after which the caller gives up
  */
 public record LoadClass(
@@ -27,13 +27,13 @@
         List<Rate> rates,
         List<Caller> callers,
         int promptChars,
-        int lengthMedian,
+        int medianLength,
         double lengthSigma,
-        int lengthMost,
+        int maxLength,
         boolean keyed,
         boolean idempotent,
         Duration firstTarget,
-        Duration wholeTarget,
+        Duration completionTarget,
         Duration deadline) {
 
     /** So many requests a second from a moment of the run on. */
--- a/standin/src/main/java/org/tanagerhinge/standin/load/Load.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/load/LoadGenerator.java
@@ -21,9 +21,9 @@
  *
  * <p>Times are counted from the appointed moment, so a sender that falls behind shows as latency.
  */
-public final class Load implements AutoCloseable {
-    private static final int MOST_REPEATS = 20;
-    private static final Duration REPEAT_PAUSE = Duration.ofMillis(400);
+public final class LoadGenerator implements AutoCloseable {
+    private static final int MAX_RETRIES = 20;
+    private static final Duration RETRY_DELAY = Duration.ofMillis(400);
     private static final double SLICE_SECONDS = 0.01;
 
     private final HttpClient client;
@@ -31,17 +31,17 @@
     private final List<LoadClass> classes;
     private final Random random;
     private final Map<String, Tally> tallies = new LinkedHashMap<>();
-    private final ConcurrentLinkedQueue<Sent> ended = new ConcurrentLinkedQueue<>();
-    private final ScheduledExecutorService later = Executors.newSingleThreadScheduledExecutor(
+    private final ConcurrentLinkedQueue<EndedRequest> ended = new ConcurrentLinkedQueue<>();
+    private final ScheduledExecutorService retryScheduler = Executors.newSingleThreadScheduledExecutor(
             Thread.ofPlatform().name("load-repeats").daemon().factory());
-    private final Phaser open = new Phaser(1);
-    private long numbers;
+    private final Phaser inFlight = new Phaser(1);
+    private long nextNumber;
 
     /** One request and how it ended. */
-    record Sent(LoadClass loadClass, String call, Ending ending) {}
+    record EndedRequest(LoadClass loadClass, String call, ClientOutcome ending) {}
 
     /** One request to be sent. */
-    record Planned(
+    record PlannedRequest(
             LoadClass loadClass,
             Caller caller,
             String message,
@@ -50,7 +50,7 @@
             long dueNanos,
             int firstRouter) {}
 
-    private Load(HttpClient client, List<String> routers, List<LoadClass> classes, long seed) {
+    private LoadGenerator(HttpClient client, List<String> routers, List<LoadClass> classes, long seed) {
         this.client = client;
         this.routers = routers;
         this.classes = classes;
@@ -64,8 +64,8 @@
      * @param client a started client
      * @param routers base URLs
      */
-    public static Load of(HttpClient client, List<String> routers, List<LoadClass> classes, long seed) {
-        return new Load(client, routers, classes, seed);
+    public static LoadGenerator of(HttpClient client, List<String> routers, List<LoadClass> classes, long seed) {
+        return new LoadGenerator(client, routers, classes, seed);
     }
 
     /** Returns what became of the requests, by profile. */
@@ -75,9 +75,9 @@
 
     /** Sends for a length of time, then waits until every request has ended. */
     public void run(Duration length) {
-        List<Planned> plan = plan(length);
+        List<PlannedRequest> plan = plan(length);
         long start = System.nanoTime();
-        for (Planned planned : plan) {
+        for (PlannedRequest planned : plan) {
             long due = start + planned.dueNanos();
             long left = due - System.nanoTime();
             while (left > 0) {
@@ -85,15 +85,15 @@
                 left = due - System.nanoTime();
             }
             tallies.get(planned.loadClass().profile()).sent();
-            open.register();
+            inFlight.register();
             send(planned, due, 0);
         }
-        open.arriveAndAwaitAdvance();
+        inFlight.arriveAndAwaitAdvance();
     }
 
     /** Draws all requests beforehand, so that a seed gives the same requests whatever the system does. */
-    private List<Planned> plan(Duration length) {
-        List<Planned> plan = new ArrayList<>();
+    private List<PlannedRequest> plan(Duration length) {
+        List<PlannedRequest> plan = new ArrayList<>();
         long slices = (long) (length.toNanos() / 1e9 / SLICE_SECONDS);
         for (long slice = 0; slice < slices; slice++) {
             Duration at = Duration.ofNanos((long) (slice * SLICE_SECONDS * 1e9));
@@ -101,7 +101,7 @@
                 int arrivals = poisson(each.rateAt(at) * SLICE_SECONDS);
                 for (int i = 0; i < arrivals; i++) {
                     long due = at.toNanos() + (long) (random.nextDouble() * SLICE_SECONDS * 1e9);
-                    plan.add(planned(each, due));
+                    plan.add(planRequest(each, due));
                 }
             }
         }
@@ -120,22 +120,22 @@
         return count;
     }
 
-    private Planned planned(LoadClass each, long due) {
-        long number = numbers++;
-        Caller caller = draw(each.callers());
+    private PlannedRequest planRequest(LoadClass each, long due) {
+        long number = nextNumber++;
+        Caller caller = drawCaller(each.callers());
         int length = (int) Math.max(
                 2,
                 Math.min(
-                        each.lengthMost(), each.lengthMedian() * Math.exp(each.lengthSigma() * random.nextGaussian())));
+                        each.maxLength(), each.medianLength() * Math.exp(each.lengthSigma() * random.nextGaussian())));
         int chars = (int) Math.max(16, each.promptChars() * Math.exp(0.3 * random.nextGaussian()));
         String unique = each.profile() + " " + number + " " + Long.toHexString(random.nextLong());
         String message = unique + " [length " + length + "] " + "x".repeat(chars);
         String path = "/jobs/" + each.profile() + "-" + number + "-" + Long.toHexString(random.nextLong());
         String key = each.keyed() ? "key-" + unique.replace(' ', '-') : "";
-        return new Planned(each, caller, message, path, key, due, random.nextInt(routers.size()));
+        return new PlannedRequest(each, caller, message, path, key, due, random.nextInt(routers.size()));
     }
 
-    private Caller draw(List<Caller> callers) {
+    private Caller drawCaller(List<Caller> callers) {
         double total = callers.stream().mapToDouble(Caller::weight).sum();
         double point = random.nextDouble() * total;
         for (Caller caller : callers) {
@@ -147,54 +147,54 @@
         return callers.get(callers.size() - 1);
     }
 
-    private void send(Planned planned, long dueNanos, int repeat) {
-        String router = routers.get((planned.firstRouter() + repeat) % routers.size());
-        CompletableFuture<Reply> reply = Call.send(client, router, planned, dueNanos);
+    private void send(PlannedRequest planned, long dueNanos, int retry) {
+        String router = routers.get((planned.firstRouter() + retry) % routers.size());
+        CompletableFuture<Reply> reply = RouterCall.send(client, router, planned, dueNanos);
         reply.whenComplete((answer, failure) -> {
             if (failure != null) {
-                System.getLogger(Load.class.getName()).log(System.Logger.Level.ERROR, "load", failure);
-                end(planned, Ending.LOST);
+                System.getLogger(LoadGenerator.class.getName()).log(System.Logger.Level.ERROR, "load", failure);
+                recordEnd(planned, ClientOutcome.LOST);
             } else {
-                replied(planned, answer, dueNanos, repeat);
+                onReply(planned, answer, dueNanos, retry);
             }
         });
     }
 
-    private void replied(Planned planned, Reply reply, long dueNanos, int repeat) {
-        if (reply.ending() == Ending.UNREACHED && repeat < MOST_REPEATS) {
-            send(planned, dueNanos, repeat + 1);
+    private void onReply(PlannedRequest planned, Reply reply, long dueNanos, int retry) {
+        if (reply.ending() == ClientOutcome.UNREACHED && retry < MAX_RETRIES) {
+            send(planned, dueNanos, retry + 1);
             return;
         }
         Tally tally = tallies.get(planned.loadClass().profile());
         if (reply.code() > 0) {
             tally.refused(reply.code());
         }
-        boolean open = reply.ending() == Ending.UNKNOWN || reply.ending() == Ending.CUT;
+        boolean unresolved = reply.ending() == ClientOutcome.UNKNOWN || reply.ending() == ClientOutcome.CUT;
         Duration waited = Duration.ofNanos(System.nanoTime() - dueNanos);
-        boolean time = waited.compareTo(planned.loadClass().deadline()) < 0;
-        if (open && planned.loadClass().keyed() && repeat < MOST_REPEATS && time) {
+        boolean beforeDeadline = waited.compareTo(planned.loadClass().deadline()) < 0;
+        if (unresolved && planned.loadClass().keyed() && retry < MAX_RETRIES && beforeDeadline) {
             tally.repeated();
-            later.schedule(() -> send(planned, dueNanos, repeat + 1), REPEAT_PAUSE.toMillis(), TimeUnit.MILLISECONDS);
+            retryScheduler.schedule(() -> send(planned, dueNanos, retry + 1), RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
             return;
         }
-        if (reply.ending() == Ending.WHOLE) {
+        if (reply.ending() == ClientOutcome.WHOLE) {
             LoadClass each = planned.loadClass();
             boolean met =
-                    within(reply.untilFirst(), each.firstTarget()) && within(reply.untilWhole(), each.wholeTarget());
+                    meetsTarget(reply.untilFirst(), each.firstTarget()) && meetsTarget(reply.untilWhole(), each.completionTarget());
             tally.times(reply.untilFirst(), reply.untilWhole(), reply.tokens(), met);
         }
-        end(planned, reply.ending());
+        recordEnd(planned, reply.ending());
     }
 
-    private static boolean within(Duration time, Duration target) {
+    private static boolean meetsTarget(Duration time, Duration target) {
         return target.isZero() || time.compareTo(target) <= 0;
     }
 
-    private void end(Planned planned, Ending ending) {
+    private void recordEnd(PlannedRequest planned, ClientOutcome ending) {
         tallies.get(planned.loadClass().profile()).ended(ending);
         String call = planned.loadClass().isService() ? "POST " + planned.path() : Answers.mark(planned.message());
-        ended.add(new Sent(planned.loadClass(), call, ending));
-        open.arriveAndDeregister();
+        ended.add(new EndedRequest(planned.loadClass(), call, ending));
+        inFlight.arriveAndDeregister();
     }
 
     /**
@@ -203,13 +203,13 @@
      * @param runs how often each call was begun: by {@code METHOD path} at services, by the mark of the answer at engines
      */
     public void audit(Map<String, Integer> runs) {
-        for (Sent sent : ended) {
+        for (EndedRequest sent : ended) {
             int count = runs.getOrDefault(sent.call(), 0);
             Tally tally = tallies.get(sent.loadClass().profile());
             if (!sent.loadClass().idempotent() && count > 1) {
                 tally.doubled(1);
             }
-            if (sent.ending() == Ending.NOT_RUN && count > 0) {
+            if (sent.ending() == ClientOutcome.NOT_RUN && count > 0) {
                 tally.falselyNotRun(1);
             }
         }
@@ -217,6 +217,6 @@
 
     @Override
     public void close() {
-        later.shutdownNow();
+        retryScheduler.shutdownNow();
     }
 }
--- a/standin/src/main/java/org/tanagerhinge/standin/load/Reply.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/load/Reply.java
@@ -8,4 +8,4 @@
  * @param code numbered result code; 0 if none was told
  * @param tokens tokens of a whole answer
  */
-record Reply(Ending ending, int code, Duration untilFirst, Duration untilWhole, long tokens) {}
+record Reply(ClientOutcome ending, int code, Duration untilFirst, Duration untilWhole, long tokens) {}
--- a/standin/src/main/java/org/tanagerhinge/standin/load/Call.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/load/RouterCall.java
@@ -21,12 +21,12 @@
 import org.tanagerhinge.standin.Answers;
 
 /** Sends one request to a router and reads its answer as it comes. */
-final class Call {
+final class RouterCall {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Duration PATIENCE = Duration.ofSeconds(15);
-    private static final String DATA = "data: ";
+    private static final Duration TIMEOUT_MARGIN = Duration.ofSeconds(15);
+    private static final String DATA_PREFIX = "data: ";
 
-    private final Load.Planned planned;
+    private final LoadGenerator.PlannedRequest planned;
     private final long dueNanos;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
@@ -37,13 +37,13 @@
     private JsonNode error;
     private long tokens;
 
-    private Call(Load.Planned planned, long dueNanos) {
+    private RouterCall(LoadGenerator.PlannedRequest planned, long dueNanos) {
         this.planned = planned;
         this.dueNanos = dueNanos;
     }
 
-    static CompletableFuture<Reply> send(HttpClient client, String router, Load.Planned planned, long dueNanos) {
-        Call call = new Call(planned, dueNanos);
+    static CompletableFuture<Reply> send(HttpClient client, String router, LoadGenerator.PlannedRequest planned, long dueNanos) {
+        RouterCall call = new RouterCall(planned, dueNanos);
         CompletableFuture<Reply> reply = new CompletableFuture<>();
         LoadClass each = planned.loadClass();
         Request request = each.isService()
@@ -58,10 +58,10 @@
                 headers.put("Idempotency-Key", planned.key());
             }
         });
-        request.timeout(each.deadline().plus(PATIENCE).toMillis(), TimeUnit.MILLISECONDS)
+        request.timeout(each.deadline().plus(TIMEOUT_MARGIN).toMillis(), TimeUnit.MILLISECONDS)
                 .onResponseHeaders(response -> call.status = response.getStatus())
-                .onResponseContent(call::content)
-                .send(result -> reply.complete(call.ended(result)));
+                .onResponseContent(call::onContent)
+                .send(result -> reply.complete(call.toReply(result)));
         return reply;
     }
 
@@ -76,7 +76,7 @@
         return root.toString();
     }
 
-    private void content(Response response, ByteBuffer buffer) {
+    private void onContent(Response response, ByteBuffer buffer) {
         byte[] data = new byte[buffer.remaining()];
         buffer.get(data);
         if (status != 200 || planned.loadClass().isService()) {
@@ -88,7 +88,7 @@
         }
         for (byte b : data) {
             if (b == '\n') {
-                takeLine(line.toString(StandardCharsets.UTF_8));
+                onLine(line.toString(StandardCharsets.UTF_8));
                 line.reset();
             } else {
                 line.write(b);
@@ -96,11 +96,11 @@
         }
     }
 
-    private void takeLine(String text) {
-        if (!text.startsWith(DATA)) {
+    private void onLine(String text) {
+        if (!text.startsWith(DATA_PREFIX)) {
             return;
         }
-        String event = text.substring(DATA.length());
+        String event = text.substring(DATA_PREFIX.length());
         if (event.equals("[DONE]")) {
             endMarker = true;
             return;
@@ -122,7 +122,7 @@
         }
     }
 
-    private Reply ended(Result result) {
+    private Reply toReply(Result result) {
         long now = System.nanoTime();
         Duration untilFirst = Duration.ofNanos((firstNanos == 0 ? now : firstNanos) - dueNanos);
         Duration untilWhole = Duration.ofNanos(now - dueNanos);
@@ -132,25 +132,25 @@
         if (error != null) {
             int code = error.path("code").asInt();
             boolean notRun = error.path("run").asText().equals("not_run");
-            Ending told = notRun ? Ending.NOT_RUN : answer.isEmpty() ? Ending.UNKNOWN : Ending.CUT;
-            return new Reply(told, code, untilFirst, untilWhole, 0);
+            ClientOutcome reported = notRun ? ClientOutcome.NOT_RUN : answer.isEmpty() ? ClientOutcome.UNKNOWN : ClientOutcome.CUT;
+            return new Reply(reported, code, untilFirst, untilWhole, 0);
         }
         if (result.isFailed()) {
-            return new Reply(broken(result.getFailure()), 0, untilFirst, untilWhole, 0);
+            return new Reply(classifyFailure(result.getFailure()), 0, untilFirst, untilWhole, 0);
         }
-        Ending ending = planned.loadClass().isService() ? checkService() : checkAnswer();
+        ClientOutcome ending = planned.loadClass().isService() ? checkService() : checkAnswer();
         return new Reply(ending, 0, untilFirst, untilWhole, tokens);
     }
 
     /** Tells what a caller makes of a connection that failed: silence is a lost request, a cut one is seen as cut. */
-    private Ending broken(Throwable cause) {
+    private ClientOutcome classifyFailure(Throwable cause) {
         if (cause instanceof ConnectException) {
-            return Ending.UNREACHED;
+            return ClientOutcome.UNREACHED;
         }
         if (cause instanceof TimeoutException) {
-            return Ending.LOST;
+            return ClientOutcome.LOST;
         }
-        return answer.isEmpty() ? Ending.UNKNOWN : Ending.CUT;
+        return answer.isEmpty() ? ClientOutcome.UNKNOWN : ClientOutcome.CUT;
     }
 
     private JsonNode readError() {
@@ -162,21 +162,21 @@
         }
     }
 
-    private Ending checkService() {
+    private ClientOutcome checkService() {
         String expected = "POST " + planned.path() + " ";
-        return body.toString(StandardCharsets.UTF_8).startsWith(expected) ? Ending.WHOLE : Ending.MIXED;
+        return body.toString(StandardCharsets.UTF_8).startsWith(expected) ? ClientOutcome.WHOLE : ClientOutcome.MIXED;
     }
 
-    private Ending checkAnswer() {
+    private ClientOutcome checkAnswer() {
         if (!endMarker) {
-            return Ending.LOST;
+            return ClientOutcome.LOST;
         }
         String text = answer.toString();
         tokens = text.split(" ").length;
         return switch (Answers.check(planned.message(), text)) {
-            case WHOLE -> Ending.WHOLE;
-            case CUT -> Ending.LOST;
-            case MIXED, BROKEN -> Ending.MIXED;
+            case WHOLE -> ClientOutcome.WHOLE;
+            case CUT -> ClientOutcome.LOST;
+            case MIXED, BROKEN -> ClientOutcome.MIXED;
         };
     }
 }
--- a/standin/src/main/java/org/tanagerhinge/standin/load/Tally.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/load/Tally.java
@@ -8,14 +8,14 @@
 
 /** What became of the requests of one class. Safe for use by several threads. */
 public final class Tally {
-    private static final long MOST_MICROS = Duration.ofMinutes(10).toNanos() / 1000;
-    private static final int DIGITS = 3;
+    private static final long MAX_MICROS = Duration.ofMinutes(10).toNanos() / 1000;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
-    private final Map<Ending, Integer> endings = new EnumMap<>(Ending.class);
+    private final Map<ClientOutcome, Integer> endings = new EnumMap<>(ClientOutcome.class);
     private final Map<Integer, Integer> codes = new TreeMap<>();
-    private final Histogram first = new Histogram(MOST_MICROS, DIGITS);
-    private final Histogram between = new Histogram(MOST_MICROS, DIGITS);
-    private final Histogram whole = new Histogram(MOST_MICROS, DIGITS);
+    private final Histogram first = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram between = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram whole = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
     private int sent;
     private int inTime;
     private int repeats;
@@ -36,13 +36,13 @@
         codes.merge(code, 1, Integer::sum);
     }
 
-    synchronized void ended(Ending ending) {
+    synchronized void ended(ClientOutcome ending) {
         endings.merge(ending, 1, Integer::sum);
     }
 
     synchronized void times(Duration untilFirst, Duration untilWhole, long answerTokens, boolean met) {
-        first.recordValue(Math.min(MOST_MICROS, untilFirst.toNanos() / 1000));
-        whole.recordValue(Math.min(MOST_MICROS, untilWhole.toNanos() / 1000));
+        first.recordValue(Math.min(MAX_MICROS, untilFirst.toNanos() / 1000));
+        whole.recordValue(Math.min(MAX_MICROS, untilWhole.toNanos() / 1000));
         if (answerTokens > 1) {
             between.recordValue(untilWhole.minus(untilFirst).toNanos() / 1000 / (answerTokens - 1));
         }
@@ -67,7 +67,7 @@
     }
 
     /** Returns how many requests ended in a way. */
-    public synchronized int count(Ending ending) {
+    public synchronized int count(ClientOutcome ending) {
         return endings.getOrDefault(ending, 0);
     }
 
@@ -127,6 +127,6 @@
 
     /** Returns whether nothing was lost, mixed up, doubled or falsely reported. */
     public synchronized boolean clean() {
-        return count(Ending.LOST) == 0 && count(Ending.MIXED) == 0 && doubled == 0 && falselyNotRun == 0;
+        return count(ClientOutcome.LOST) == 0 && count(ClientOutcome.MIXED) == 0 && doubled == 0 && falselyNotRun == 0;
     }
 }
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/DutyStandin.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/DutyStandin.java
@@ -14,7 +14,7 @@
 /** The platform's address that takes usage reports and checks fencing tokens. */
 public final class DutyStandin implements AutoCloseable {
     /** What it does to callers. */
-    public enum Mood {
+    public enum FaultMode {
         /** It serves. */
         SERVES,
         /** It answers 503. */
@@ -27,15 +27,15 @@
 
     private final RawServer server;
     private final List<Report> reports = new ArrayList<>();
-    private long highest;
-    private Mood mood = Mood.SERVES;
-    private String fenced = "";
+    private long highestToken;
+    private FaultMode faultMode = FaultMode.SERVES;
+    private String fencedHolder = "";
 
     /** A report that was accepted. */
     public record Report(String holder, long token, long window, Map<String, Long> counts) {}
 
     private DutyStandin() {
-        server = RawServer.start(0, this::answer);
+        server = RawServer.start(0, this::handle);
     }
 
     /** Starts it on a free port. */
@@ -48,13 +48,13 @@
     }
 
     /** Sets what it does to callers from now on. */
-    public synchronized void mood(Mood newMood) {
-        mood = newMood;
+    public synchronized void faultMode(FaultMode newMode) {
+        faultMode = newMode;
     }
 
     /** Refuses the reports of a holder from now on, as if another one had sent a higher fencing token. */
     public synchronized void fence(String holder) {
-        fenced = holder;
+        fencedHolder = holder;
     }
 
     /** Returns the reports that were accepted, in their order. */
@@ -62,29 +62,29 @@
         return List.copyOf(reports);
     }
 
-    private void answer(RawServer.Request request, RawServer.Connection connection)
+    private void handle(RawServer.Request request, RawServer.Connection connection)
             throws IOException, InterruptedException {
-        Mood now;
+        FaultMode mode;
         int status;
         synchronized (this) {
-            now = mood;
-            status = now == Mood.SERVES ? take(request) : 503;
+            mode = faultMode;
+            status = mode == FaultMode.SERVES ? acceptReport(request) : 503;
         }
-        if (now == Mood.SILENT) {
+        if (mode == FaultMode.SILENT) {
             Thread.sleep(TimeUnit.HOURS.toMillis(1));
         }
         connection.answer(status, "Content-Type: application/json\r\n", "{}");
     }
 
-    private int take(RawServer.Request request) throws IOException {
+    private int acceptReport(RawServer.Request request) throws IOException {
         if (!request.path().equals(PlatformNames.USAGE_PATH)) {
             return 404;
         }
         long token = Long.parseLong(request.header(PlatformNames.FENCING_TOKEN));
-        if (token < highest || request.header(PlatformNames.DUTY_HOLDER).equals(fenced)) {
+        if (token < highestToken || request.header(PlatformNames.DUTY_HOLDER).equals(fencedHolder)) {
             return 409;
         }
-        highest = token;
+        highestToken = token;
         JsonNode body = JSON.readTree(request.body());
         Map<String, Long> counts = new TreeMap<>();
         body.path(PlatformNames.COUNTS)
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/GatewayCost.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/GatewayCost.java
@@ -24,13 +24,13 @@
  */
 @Command(name = "cost", description = "Measures the processor time of a gateway process, cold and warm")
 public final class GatewayCost implements Runnable {
-    private static final int FIRST = 50;
-    private static final int AFTER = 5_000;
+    private static final int COLD_REQUESTS = 50;
+    private static final int DEFAULT_WARM_REQUESTS = 5_000;
     private static final int CALLERS = 8;
     private static final int EVENTS = 20;
-    private static final long PAUSE_MILLIS = 3;
+    private static final long EVENT_GAP_MILLIS = 3;
     /** Shared parts that requests are about, so that placing has something to choose from. */
-    private static final int THINGS = 200;
+    private static final int SHARED_PREFIXES = 200;
 
     private static final double TICK_MILLIS = 10;
     private static final int USER_TICKS = 11;
@@ -48,37 +48,37 @@
     @Required
     private String process;
 
-    @Option(name = "--requests", description = "Requests after the first " + FIRST + " (" + AFTER + ")")
-    private int requests = AFTER;
+    @Option(name = "--requests", description = "Requests after the first " + COLD_REQUESTS + " (" + DEFAULT_WARM_REQUESTS + ")")
+    private int requests = DEFAULT_WARM_REQUESTS;
 
     private final AtomicInteger failed = new AtomicInteger();
 
     @Override
     public void run() {
-        try (GatewayScene scene = GatewayScene.open();
+        try (GatewayFixture scene = GatewayFixture.open();
                 ExecutorService callers = Executors.newFixedThreadPool(CALLERS)) {
             for (int i = 0; i < 4; i++) {
                 scene.server("s-" + i, "plain", ServerStandin.plain(200, "body"));
             }
             for (int i = 0; i < 8; i++) {
-                scene.server("e-" + i, "model", ServerStandin.events(EVENTS, PAUSE_MILLIS));
+                scene.server("e-" + i, "model", ServerStandin.events(EVENTS, EVENT_GAP_MILLIS));
             }
             scene.publish();
             scene.awaitReady(scene.settings(Path.of(peerSettings), "a-peer"));
-            GatewayScene.Doors gateway = scene.settings(Path.of(settings), "gateway");
+            GatewayFixture.Ports gateway = scene.settings(Path.of(settings), "gateway");
             scene.awaitReady(gateway);
             Path account = Path.of("/proc", processId(), "stat");
-            double ready = millis(account);
-            send(scene, gateway, callers, 0, FIRST);
-            double first = millis(account);
-            send(scene, gateway, callers, FIRST, FIRST + requests);
-            double after = millis(account);
+            double ready = processorMillis(account);
+            send(scene, gateway, callers, 0, COLD_REQUESTS);
+            double first = processorMillis(account);
+            send(scene, gateway, callers, COLD_REQUESTS, COLD_REQUESTS + requests);
+            double after = processorMillis(account);
             System.out.println(String.format(
                     Locale.ROOT,
                     "until ready %.0f ms, first %d requests %.1f ms each, next %d requests %.2f ms each; %d failed",
                     ready,
-                    FIRST,
-                    (first - ready) / FIRST,
+                    COLD_REQUESTS,
+                    (first - ready) / COLD_REQUESTS,
                     requests,
                     (after - first) / requests,
                     failed.get()));
@@ -103,20 +103,20 @@
         }
     }
 
-    private static double millis(Path account) throws IOException {
+    private static double processorMillis(Path account) throws IOException {
         String text = Files.readString(account);
         String[] fields = text.substring(text.lastIndexOf(')') + 2).split(" ");
         return TICK_MILLIS * (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS]));
     }
 
-    private void send(GatewayScene scene, GatewayScene.Doors doors, ExecutorService callers, int from, int to)
+    private void send(GatewayFixture scene, GatewayFixture.Ports ports, ExecutorService callers, int from, int to)
             throws InterruptedException {
         AtomicInteger next = new AtomicInteger(from);
         List<Future<?>> ends = new ArrayList<>();
         for (int i = 0; i < CALLERS; i++) {
             ends.add(callers.submit(() -> {
                 for (int request = next.getAndIncrement(); request < to; request = next.getAndIncrement()) {
-                    if (sendOne(scene, doors, request) != 200) {
+                    if (sendOne(scene, ports, request) != 200) {
                         failed.incrementAndGet();
                     }
                 }
@@ -132,10 +132,10 @@
         }
     }
 
-    private static int sendOne(GatewayScene scene, GatewayScene.Doors doors, int request) throws InterruptedException {
+    private static int sendOne(GatewayFixture scene, GatewayFixture.Ports ports, int request) throws InterruptedException {
         String path = request % 4 == 3 ? "/plain/" : "/stream/";
-        int thing = request * 31 % THINGS;
-        String parts = "aa:1000,t" + thing + ":1500,own" + request + ":500";
-        return scene.send(doors, path + request, "attempt-" + request, parts);
+        int prefixNumber = request * 31 % SHARED_PREFIXES;
+        String parts = "aa:1000,t" + prefixNumber + ":1500,own" + request + ":500";
+        return scene.send(ports, path + request, "attempt-" + request, parts);
     }
 }
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/GatewayScene.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/GatewayFixture.java
@@ -14,22 +14,22 @@
 import org.tanagerhinge.standin.FreePorts;
 
 /** A store and backend servers on loopback for gateways that run as processes of their own, and callers of these. */
-final class GatewayScene implements AutoCloseable {
-    private static final Duration LONGEST_CALL = Duration.ofSeconds(10);
-    private static final Duration LONGEST_START = Duration.ofSeconds(20);
+final class GatewayFixture implements AutoCloseable {
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(10);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(20);
 
     private final StoreStandin store = StoreStandin.start(0);
-    private final PlatformScene platform = PlatformScene.in(store);
+    private final PlatformFixture platform = PlatformFixture.in(store);
     private final DutyStandin duties = DutyStandin.start();
     private final List<ServerStandin> servers = new ArrayList<>();
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    private GatewayScene() {}
+    private GatewayFixture() {}
 
     /** Opens a scene with a route of each kind. */
-    static GatewayScene open() {
-        GatewayScene scene = new GatewayScene();
+    static GatewayFixture open() {
+        GatewayFixture scene = new GatewayFixture();
         scene.platform.host("127.0.0.1");
         scene.platform.service("plain", 0);
         scene.platform.service("model", 96);
@@ -41,7 +41,7 @@
     }
 
     /** Starts a server and registers it. */
-    void server(String id, String service, ServerStandin.Script script) {
+    void server(String id, String service, ServerStandin.ResponseScript script) {
         ServerStandin server = ServerStandin.start(id, script);
         servers.add(server);
         platform.register(server, service, "ready");
@@ -53,11 +53,11 @@
     }
 
     /** Where a gateway of the scene answers callers, and where it tells whether it is ready. */
-    record Doors(int callers, int status) {}
+    record Ports(int listenPort, int statusPort) {}
 
     /** Writes the settings of one gateway. */
-    Doors settings(Path file, String name) throws IOException {
-        Doors doors = new Doors(FreePorts.next(), FreePorts.next());
+    Ports settings(Path file, String name) throws IOException {
+        Ports ports = new Ports(FreePorts.next(), FreePorts.next());
         Files.writeString(file, """
                 [gateway]
                 name = %s
@@ -79,12 +79,12 @@
                 usage_late = 6s
                 """.formatted(
                         name,
-                        doors.callers(),
-                        doors.status(),
+                        ports.listenPort(),
+                        ports.statusPort(),
                         FreePorts.next(),
                         store.address().getPort(),
                         duties.address().getPort()));
-        return doors;
+        return ports;
     }
 
     /** Refuses the usage reports of a gateway from now on, so that another one takes the duty. */
@@ -93,12 +93,12 @@
     }
 
     /** Waits until a gateway is ready; fails if it doesn't become so. */
-    void awaitReady(Doors doors) throws IOException, InterruptedException {
-        URI readiness = URI.create("http://127.0.0.1:" + doors.status() + PlatformNames.READINESS_PATH);
-        long until = System.nanoTime() + LONGEST_START.toNanos();
+    void awaitReady(Ports ports) throws IOException, InterruptedException {
+        URI readiness = URI.create("http://127.0.0.1:" + ports.statusPort() + PlatformNames.READINESS_PATH);
+        long deadlineNanos = System.nanoTime() + START_TIMEOUT.toNanos();
         while (!ready(readiness)) {
-            if (System.nanoTime() - until > 0) {
-                throw new IOException("gateway at " + doors + " was not ready after " + LONGEST_START);
+            if (System.nanoTime() - deadlineNanos > 0) {
+                throw new IOException("gateway at " + ports + " was not ready after " + START_TIMEOUT);
             }
             Thread.sleep(10);
         }
@@ -119,9 +119,9 @@
      *
      * @return its status; 0 if it had none
      */
-    int send(Doors doors, String path, String id, String parts) throws InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + doors.callers() + path))
-                .timeout(LONGEST_CALL)
+    int send(Ports ports, String path, String id, String parts) throws InterruptedException {
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + ports.listenPort() + path))
+                .timeout(CALL_TIMEOUT)
                 .header("Authorization", "Token key-1")
                 .header(PlatformNames.ATTEMPT_ID, id)
                 .header(PlatformNames.DEADLINE, "4000")
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/PlatformScene.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/PlatformFixture.java
@@ -6,7 +6,7 @@
 import org.tanagerhinge.platform.PlatformNames;
 
 /** Writes the operators' and the servers' documents into a store. */
-public final class PlatformScene {
+public final class PlatformFixture {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final StoreStandin store;
@@ -17,7 +17,7 @@
     private String host = "shop.example";
     private long version;
 
-    private PlatformScene(StoreStandin store) {
+    private PlatformFixture(StoreStandin store) {
         this.store = store;
         config.putObject("limits")
                 .put(PlatformNames.MAX_HEADER_BYTES, 16_384)
@@ -27,8 +27,8 @@
     }
 
     /** Returns a scene without routes; {@link #publish()} writes it. */
-    public static PlatformScene in(StoreStandin store) {
-        return new PlatformScene(store);
+    public static PlatformFixture in(StoreStandin store) {
+        return new PlatformFixture(store);
     }
 
     /** Sets the host of the routes that are added from now on; {@code shop.example} until then. */
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/RawServer.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/RawServer.java
@@ -22,8 +22,8 @@
 /** A small HTTP server on loopback whose answers are written byte by byte, so that they can be wrong in any way. */
 public final class RawServer implements AutoCloseable {
     /** Answers one request; what it throws ends the connection. */
-    public interface Answerer {
-        void answer(Request request, Connection connection) throws IOException, InterruptedException;
+    public interface RequestHandler {
+        void handle(Request request, Connection connection) throws IOException, InterruptedException;
     }
 
     /** A request that was read whole; header names are in lower case. */
@@ -76,24 +76,24 @@
     private static final int BACKLOG = 256;
 
     /** How long the thread that accepts connections may take to end, in milliseconds. */
-    private static final long END_MILLIS = 2_000;
+    private static final long STOP_TIMEOUT_MILLIS = 2_000;
 
-    private final ServerSocket door;
-    private final Answerer answerer;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final ServerSocket listener;
+    private final RequestHandler handler;
+    private final Set<Socket> openConnections = ConcurrentHashMap.newKeySet();
     private final AtomicInteger connections = new AtomicInteger();
     private Thread acceptor;
 
-    private RawServer(ServerSocket door, Answerer answerer) {
-        this.door = door;
-        this.answerer = answerer;
+    private RawServer(ServerSocket listener, RequestHandler handler) {
+        this.listener = listener;
+        this.handler = handler;
     }
 
     /** Starts a server on a port, or on a free one if it is 0. */
-    public static RawServer start(int port, Answerer answerer) {
+    public static RawServer start(int port, RequestHandler handler) {
         try {
-            ServerSocket door = new ServerSocket(port, BACKLOG, InetAddress.getByName("127.0.0.1"));
-            RawServer server = new RawServer(door, answerer);
+            ServerSocket listener = new ServerSocket(port, BACKLOG, InetAddress.getByName("127.0.0.1"));
+            RawServer server = new RawServer(listener, handler);
             server.acceptor = Thread.ofPlatform().daemon().name("accept").start(server::accept);
             return server;
         } catch (IOException e) {
@@ -103,12 +103,12 @@
 
     /** Returns where it listens. */
     public InetSocketAddress address() {
-        return (InetSocketAddress) door.getLocalSocketAddress();
+        return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
     /** Returns the connections that are open now. */
-    public Set<Socket> open() {
-        return Set.copyOf(open);
+    public Set<Socket> openConnections() {
+        return Set.copyOf(openConnections);
     }
 
     /** Returns how many connections were accepted. */
@@ -117,12 +117,12 @@
     }
 
     private void accept() {
-        while (!door.isClosed()) {
+        while (!listener.isClosed()) {
             try {
-                Socket socket = door.accept();
+                Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
                 connections.incrementAndGet();
-                open.add(socket);
+                openConnections.add(socket);
                 Thread.ofVirtual().start(() -> serve(socket));
             } catch (IOException e) {
                 return;
@@ -139,14 +139,14 @@
                 if (request == null) {
                     return;
                 }
-                answerer.answer(request, connection);
+                handler.handle(request, connection);
             }
         } catch (IOException e) {
             // The peer or the test has closed the connection.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            open.remove(socket);
+            openConnections.remove(socket);
         }
     }
 
@@ -182,10 +182,10 @@
     @Override
     public void close() {
         try {
-            door.close();
+            listener.close();
             // The socket takes connections until the thread that waits at it has left.
-            acceptor.join(END_MILLIS);
-            for (Socket socket : open) {
+            acceptor.join(STOP_TIMEOUT_MILLIS);
+            for (Socket socket : openConnections) {
                 socket.close();
             }
         } catch (IOException e) {
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/ServerStandin.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/ServerStandin.java
@@ -11,26 +11,26 @@
 /** A backend server: notes what it is sent, and answers as its script says. */
 public final class ServerStandin implements AutoCloseable {
     /** How it answers a request. */
-    public interface Script {
+    public interface ResponseScript {
         void answer(ServerStandin server, RawServer.Request request, RawServer.Connection connection)
                 throws IOException, InterruptedException;
     }
 
     private final String id;
     private final RawServer server;
-    private final AtomicReference<Script> script;
-    private final List<RawServer.Request> seen = new CopyOnWriteArrayList<>();
-    private final AtomicInteger broken = new AtomicInteger();
+    private final AtomicReference<ResponseScript> script;
+    private final List<RawServer.Request> receivedRequests = new CopyOnWriteArrayList<>();
+    private final AtomicInteger brokenResponses = new AtomicInteger();
     private volatile boolean closed;
 
-    private ServerStandin(int port, String id, Script script) {
+    private ServerStandin(int port, String id, ResponseScript script) {
         this.id = id;
         this.script = new AtomicReference<>(script);
         this.server = RawServer.start(port, this::answer);
     }
 
     /** Starts a server on a free port that answers as a script says. */
-    public static ServerStandin start(String id, Script script) {
+    public static ServerStandin start(String id, ResponseScript script) {
         return new ServerStandin(0, id, script);
     }
 
@@ -43,13 +43,13 @@
     }
 
     /** Returns what it was sent, refused requests among it. */
-    public List<RawServer.Request> seen() {
-        return seen;
+    public List<RawServer.Request> receivedRequests() {
+        return receivedRequests;
     }
 
     /** Returns how many of its answers ended because the connection was closed under them. */
-    public int broken() {
-        return broken.get();
+    public int brokenResponses() {
+        return brokenResponses.get();
     }
 
     /** Returns how many connections it accepted. */
@@ -58,22 +58,22 @@
     }
 
     /** Changes how it answers. */
-    public void script(Script newScript) {
+    public void script(ResponseScript newScript) {
         script.set(newScript);
     }
 
     private void answer(RawServer.Request request, RawServer.Connection connection)
             throws IOException, InterruptedException {
-        String meant = request.header(PlatformNames.EXPECT_INSTANCE);
-        if (!meant.isEmpty() && !meant.equals(id)) {
+        String expectedInstance = request.header(PlatformNames.EXPECT_INSTANCE);
+        if (!expectedInstance.isEmpty() && !expectedInstance.equals(id)) {
             connection.answer(421, PlatformNames.INSTANCE_ID + ": " + id + "\r\n", "");
             return;
         }
-        seen.add(request);
+        receivedRequests.add(request);
         try {
             script.get().answer(this, request, connection);
         } catch (IOException e) {
-            broken.incrementAndGet();
+            brokenResponses.incrementAndGet();
             throw e;
         }
     }
@@ -85,12 +85,12 @@
     }
 
     /** Returns a script that answers with a status and a body. */
-    public static Script plain(int status, String body) {
+    public static ResponseScript plain(int status, String body) {
         return (server, request, connection) -> connection.answer(status, server.headers(request), body);
     }
 
     /** Returns a script that refuses without running the request. */
-    public static Script refusing() {
+    public static ResponseScript refusing() {
         return (server, request, connection) -> connection.answer(503, PlatformNames.NOT_EXECUTED + ": 1\r\n", "");
     }
 
@@ -100,7 +100,7 @@
      * @param events number of the last event
      * @param pauseMillis between two events
      */
-    public static Script events(int events, long pauseMillis) {
+    public static ResponseScript events(int events, long pauseMillis) {
         return (server, request, connection) -> {
             beginStream(server, request, connection);
             for (int event = firstEvent(request); event <= events; event++) {
@@ -112,7 +112,7 @@
     }
 
     /** Returns a script that streams events and resets the connection in the midst of one. */
-    public static Script cutWithin(int event) {
+    public static ResponseScript cutWithin(int event) {
         return (server, request, connection) -> {
             beginStream(server, request, connection);
             for (int i = firstEvent(request); i < event; i++) {
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/StartupTraining.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/StartupTraining.java
@@ -34,15 +34,15 @@
 
     @Override
     public void run() {
-        try (GatewayScene scene = GatewayScene.open()) {
+        try (GatewayFixture scene = GatewayFixture.open()) {
             scene.server("s-1", "plain", ServerStandin.plain(200, "body"));
             scene.server("s-2", "plain", ServerStandin.plain(500, "no"));
             scene.server("e-1", "model", ServerStandin.events(5, 2));
             scene.server("e-2", "model", ServerStandin.cutWithin(3));
             scene.publish();
-            GatewayScene.Doors peer = scene.settings(Path.of(peerSettings), PEER);
+            GatewayFixture.Ports peer = scene.settings(Path.of(peerSettings), PEER);
             scene.awaitReady(peer);
-            GatewayScene.Doors gateway = scene.settings(Path.of(settings), "training");
+            GatewayFixture.Ports gateway = scene.settings(Path.of(settings), "training");
             scene.awaitReady(gateway);
             send(scene, gateway, "before");
             scene.server("e-3", "model", ServerStandin.refusing());
@@ -62,10 +62,10 @@
         }
     }
 
-    private static void send(GatewayScene scene, GatewayScene.Doors doors, String when) throws InterruptedException {
+    private static void send(GatewayFixture scene, GatewayFixture.Ports ports, String when) throws InterruptedException {
         for (int i = 0; i < REQUESTS; i++) {
             for (String path : new String[] {"plain", "once", "stream", "none"}) {
-                scene.send(doors, "/" + path + "/" + i, when + "-" + path + "-" + i, "aa:2000,bb:800,cc:200");
+                scene.send(ports, "/" + path + "/" + i, when + "-" + path + "-" + i, "aa:2000,bb:800,cc:200");
             }
         }
     }
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/StoreStandin.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/StoreStandin.java
@@ -22,7 +22,7 @@
 /** The platform's store: revisions, writes under conditions, watches, leases; and its troubles. */
 public final class StoreStandin implements AutoCloseable {
     /** What the store does to callers. */
-    public enum Mood {
+    public enum FaultMode {
         /** It serves. */
         SERVES,
         /** It answers 503: nothing was done. */
@@ -36,20 +36,20 @@
     }
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int PAGE = 50;
+    private static final int PAGE_SIZE = 50;
 
     private final TreeMap<String, Item> items = new TreeMap<>();
     private final List<Change> history = new ArrayList<>();
     private final Map<Long, Long> leases = new HashMap<>();
     private final Map<Long, Long> leaseMillis = new HashMap<>();
     private final Map<String, Integer> calls = new TreeMap<>();
-    private final Map<String, Integer> lost = new TreeMap<>();
+    private final Map<String, Integer> unansweredCalls = new TreeMap<>();
     private Set<Socket> silenced = Set.of();
     private long revision;
-    private long forgotten;
+    private long compactedRevision;
     private long nextLease = 100;
-    private Mood mood = Mood.SERVES;
-    private Mood sideMood = Mood.SERVES;
+    private FaultMode faultMode = FaultMode.SERVES;
+    private FaultMode sideFaultMode = FaultMode.SERVES;
     private final RawServer server;
     private RawServer sideServer;
 
@@ -58,7 +58,7 @@
     private record Change(String key, Item item, long revision) {}
 
     private StoreStandin(int port) {
-        server = RawServer.start(port, (request, connection) -> answer(request, connection, () -> mood));
+        server = RawServer.start(port, (request, connection) -> handle(request, connection, () -> faultMode));
     }
 
     /** Starts a store on a port, or on a free one if it is 0. */
@@ -71,33 +71,33 @@
     }
 
     /** Sets what it does to callers from now on. */
-    public synchronized void mood(Mood newMood) {
-        mood = newMood;
+    public synchronized void faultMode(FaultMode newMode) {
+        faultMode = newMode;
         notifyAll();
     }
 
     /** Returns a second address of the same store, which has a mood of its own: some hosts are turned away, others served. */
     public synchronized InetSocketAddress sideAddress() {
         if (sideServer == null) {
-            sideServer = RawServer.start(0, (request, connection) -> answer(request, connection, () -> sideMood));
+            sideServer = RawServer.start(0, (request, connection) -> handle(request, connection, () -> sideFaultMode));
         }
         return sideServer.address();
     }
 
     /** Sets what it does to callers of its second address from now on. */
-    public synchronized void sideMood(Mood newMood) {
-        sideMood = newMood;
+    public synchronized void sideFaultMode(FaultMode newMode) {
+        sideFaultMode = newMode;
         notifyAll();
     }
 
     /** Answers nothing more on the connections that are open now, and serves others. */
     public synchronized void silenceOpenConnections() {
-        silenced = server.open();
+        silenced = server.openConnections();
     }
 
     /** Returns how often a call was made on a connection that had been silenced before, by its path. */
-    public synchronized int lost(String path) {
-        return lost.getOrDefault(path, 0);
+    public synchronized int unansweredCalls(String path) {
+        return unansweredCalls.getOrDefault(path, 0);
     }
 
     /** Writes a text under a key, as the operators and the servers do. */
@@ -109,20 +109,20 @@
 
     /** Removes a key. */
     public synchronized void remove(String key) {
-        drop(key);
+        removeKey(key);
         notifyAll();
     }
 
     /** Forgets all history: watches that continue from before are told so. */
     public synchronized void compact() {
-        forgotten = revision;
+        compactedRevision = revision;
         history.clear();
         notifyAll();
     }
 
     /** Returns the keys that begin with a text. */
     public synchronized List<String> keys(String prefix) {
-        expire();
+        expireLeases();
         return items.keySet().stream().filter(key -> key.startsWith(prefix)).toList();
     }
 
@@ -142,14 +142,14 @@
         history.add(new Change(key, item, revision));
     }
 
-    private void drop(String key) {
+    private void removeKey(String key) {
         if (items.remove(key) != null) {
             revision++;
             history.add(new Change(key, null, revision));
         }
     }
 
-    private void expire() {
+    private void expireLeases() {
         long now = System.nanoTime();
         List<Long> ended = leases.entrySet().stream()
                 .filter(lease -> lease.getValue() - now < 0)
@@ -161,25 +161,25 @@
                     .filter(item -> item.getValue().lease() == lease)
                     .map(Map.Entry::getKey)
                     .toList()
-                    .forEach(this::drop);
+                    .forEach(this::removeKey);
         }
     }
 
-    private void answer(RawServer.Request request, RawServer.Connection connection, Supplier<Mood> moods)
+    private void handle(RawServer.Request request, RawServer.Connection connection, Supplier<FaultMode> currentMode)
             throws IOException, InterruptedException {
         Reply reply;
-        Mood now;
+        FaultMode mode;
         synchronized (this) {
             calls.merge(request.path(), 1, Integer::sum);
             if (silenced.contains(connection.socket())) {
-                lost.merge(request.path(), 1, Integer::sum);
+                unansweredCalls.merge(request.path(), 1, Integer::sum);
             }
-            now = moods.get();
-            reply = now == Mood.SERVES || now == Mood.LOSES_ANSWERS ? reply(request) : new Reply(503, "{}");
-            now = moods.get() == Mood.SERVES ? now : moods.get();
-            now = silenced.contains(connection.socket()) ? Mood.SILENT : now;
+            mode = currentMode.get();
+            reply = mode == FaultMode.SERVES || mode == FaultMode.LOSES_ANSWERS ? serve(request) : new Reply(503, "{}");
+            mode = currentMode.get() == FaultMode.SERVES ? mode : currentMode.get();
+            mode = silenced.contains(connection.socket()) ? FaultMode.SILENT : mode;
         }
-        switch (now) {
+        switch (mode) {
             case SERVES, BUSY -> connection.answer(reply.status(), "Content-Type: application/json\r\n", reply.body());
             case RESETS -> connection.reset();
             case SILENT, LOSES_ANSWERS -> Thread.sleep(TimeUnit.HOURS.toMillis(1));
@@ -188,18 +188,18 @@
 
     private record Reply(int status, String body) {}
 
-    private Reply reply(RawServer.Request request) throws IOException, InterruptedException {
-        expire();
+    private Reply serve(RawServer.Request request) throws IOException, InterruptedException {
+        expireLeases();
         String path = request.path();
         if (path.startsWith(PlatformNames.LEASE_REVOCATION_PATH)) {
             leases.put(
                     Long.parseLong(path.substring(PlatformNames.LEASE_REVOCATION_PATH.length())),
                     System.nanoTime() - 1);
-            expire();
+            expireLeases();
             return new Reply(200, "{}");
         }
         if (path.startsWith(PlatformNames.LEASE_RENEWAL_PATH)) {
-            return keep(Long.parseLong(path.substring(PlatformNames.LEASE_RENEWAL_PATH.length())));
+            return renewLease(Long.parseLong(path.substring(PlatformNames.LEASE_RENEWAL_PATH.length())));
         }
         return switch (path) {
             case PlatformNames.KEY_PATH -> key(request.parameter("key"));
@@ -227,7 +227,7 @@
             if (!entry.getKey().startsWith(prefix) || entry.getKey().compareTo(after) <= 0) {
                 continue;
             }
-            if (list.size() == PAGE) {
+            if (list.size() == PAGE_SIZE) {
                 truncated = true;
                 break;
             }
@@ -239,11 +239,11 @@
 
     private Reply watch(RawServer.Request request) throws InterruptedException {
         long after = Long.parseLong(request.parameter("after"));
-        long until = System.nanoTime()
+        long deadlineNanos = System.nanoTime()
                 + TimeUnit.MILLISECONDS.toNanos(Long.parseLong(request.parameter(PlatformNames.WAIT_MILLIS)));
-        Mood begun = mood;
-        while (mood == begun) {
-            if (after < forgotten) {
+        FaultMode initialMode = faultMode;
+        while (faultMode == initialMode) {
+            if (after < compactedRevision) {
                 return new Reply(410, "{}");
             }
             ObjectNode body = JSON.createObjectNode();
@@ -253,12 +253,12 @@
                     events.add(change.item() == null ? tombstone(change) : node(change.key(), change.item()));
                 }
             }
-            long left = until - System.nanoTime();
-            if (!events.isEmpty() || left <= 0) {
+            long remainingNanos = deadlineNanos - System.nanoTime();
+            if (!events.isEmpty() || remainingNanos <= 0) {
                 return new Reply(
                         200, body.put(PlatformNames.STORE_REVISION, revision).toString());
             }
-            TimeUnit.NANOSECONDS.timedWait(this, left);
+            TimeUnit.NANOSECONDS.timedWait(this, remainingNanos);
         }
         return new Reply(503, "{}");
     }
@@ -266,15 +266,15 @@
     private Reply write(JsonNode call) {
         ObjectNode conflict = JSON.createObjectNode();
         ArrayNode current = conflict.putArray("items");
-        boolean held = true;
+        boolean matches = true;
         for (JsonNode row : call.path(PlatformNames.EXPECTED_REVISIONS)) {
             Item item = items.get(row.path("key").asText());
-            held &= row.path("revision").asLong() == (item == null ? 0 : item.revision());
+            matches &= row.path("revision").asLong() == (item == null ? 0 : item.revision());
             if (item != null) {
                 current.add(node(row.path("key").asText(), item));
             }
         }
-        if (!held) {
+        if (!matches) {
             return new Reply(412, conflict.toString());
         }
         for (JsonNode put : call.path(PlatformNames.PUTS)) {
@@ -289,7 +289,7 @@
                     put.path("value").asText(),
                     put.path("lease").asLong(0));
         }
-        call.path(PlatformNames.REMOVALS).forEach(key -> drop(key.asText()));
+        call.path(PlatformNames.REMOVALS).forEach(key -> removeKey(key.asText()));
         notifyAll();
         return new Reply(200, JSON.createObjectNode().put("revision", revision).toString());
     }
@@ -302,7 +302,7 @@
         return new Reply(200, body.toString());
     }
 
-    private Reply keep(long lease) {
+    private Reply renewLease(long lease) {
         if (!leases.containsKey(lease)) {
             return new Reply(404, "{}");
         }
