--- a/cli/src/main/java/org/tanagerhinge/cli/ServerCommands.java
+++ b/cli/src/main/java/org/tanagerhinge/cli/ServerCommands.java
@@ -181,8 +181,7 @@
             }
         }
         throw new CommandFailedException(
-                ExitCode.CONFLICT,
-                "the servers are being edited concurrently: nothing was changed, try again");
+                ExitCode.CONFLICT, "the servers are being edited concurrently: nothing was changed, try again");
     }
 
     private static ConfigStore.Edit tryEdit(ConfigStore store, long baseRevision, UnaryOperator<ServersDocument> change)
--- a/harness/src/main/java/org/tanagerhinge/bench/capacity/StreamCost.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/capacity/StreamCost.java
@@ -15,8 +15,8 @@
 import org.tanagerhinge.node.daemon.HttpClients;
 import org.tanagerhinge.standin.EngineModel;
 import org.tanagerhinge.standin.load.Caller;
-import org.tanagerhinge.standin.load.LoadGenerator;
 import org.tanagerhinge.standin.load.LoadClass;
+import org.tanagerhinge.standin.load.LoadGenerator;
 
 /** Measures the heap of open requests and of the configuration, and the CPU time per token of real daemons by role. */
 final class StreamCost {
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/RelayPathTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/RelayPathTest.java
@@ -161,7 +161,8 @@
         ServerStandin second = scene.server("s-2", "plain", (server, request, connection) -> connection.reset());
         GatewayDaemon gateway = scene.gateway();
         assertEquals(502, ask(gateway, "POST", "/once/x", "", "{}").status());
-        assertEquals(1, first.receivedRequests().size() + second.receivedRequests().size());
+        assertEquals(
+                1, first.receivedRequests().size() + second.receivedRequests().size());
     }
 
     @Test
--- a/harness/src/test/java/org/tanagerhinge/bench/relay/ServersWordTest.java
+++ b/harness/src/test/java/org/tanagerhinge/bench/relay/ServersWordTest.java
@@ -158,7 +158,8 @@
      */
     @ParameterizedTest
     @MethodSource("refusalsWithATime")
-    void aServerThatTurnsRequestsAwayForATimeGetsNoneUntilThen(ServerStandin.ResponseScript refusal) throws IOException {
+    void aServerThatTurnsRequestsAwayForATimeGetsNoneUntilThen(ServerStandin.ResponseScript refusal)
+            throws IOException {
         ServerStandin busy = scene.server("s-1", "plain", refusal);
         scene.server("s-2", "plain", answering(200, ""));
         GatewayDaemon gateway = scene.gateway();
--- a/standin/src/main/java/org/tanagerhinge/standin/DemoCommands.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/DemoCommands.java
@@ -22,8 +22,8 @@
 import org.tanagerhinge.node.daemon.HttpClients;
 import org.tanagerhinge.standin.load.Caller;
 import org.tanagerhinge.standin.load.ClientOutcome;
-import org.tanagerhinge.standin.load.LoadGenerator;
 import org.tanagerhinge.standin.load.LoadClass;
+import org.tanagerhinge.standin.load.LoadGenerator;
 import org.tanagerhinge.standin.load.Tally;
 
 /** The helpers of the demo script. */
--- a/standin/src/main/java/org/tanagerhinge/standin/EngineStandin.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/EngineStandin.java
@@ -247,7 +247,9 @@
                 .createObjectNode()
                 .put("running", batch.size())
                 .put("waiting", waiting.size())
-                .put("kvTokens", batch.stream().mapToLong(AnswerSequence::kvTokens).sum())
+                .put(
+                        "kvTokens",
+                        batch.stream().mapToLong(AnswerSequence::kvTokens).sum())
                 .toString();
     }
 
--- a/standin/src/main/java/org/tanagerhinge/standin/ServiceStandin.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/ServiceStandin.java
@@ -19,7 +19,8 @@
     private ServiceStandin(int port, int concurrency, long callMillis) {
         this.callMillis = callMillis;
         this.workers = Executors.newFixedThreadPool(
-                concurrency, Thread.ofPlatform().name("service-standin-", 0).daemon().factory());
+                concurrency,
+                Thread.ofPlatform().name("service-standin-", 0).daemon().factory());
         this.server = StandinServer.start(port, "service-standin", this::handle);
     }
 
--- a/standin/src/main/java/org/tanagerhinge/standin/load/LoadGenerator.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/load/LoadGenerator.java
@@ -125,8 +125,7 @@
         Caller caller = drawCaller(each.callers());
         int length = (int) Math.max(
                 2,
-                Math.min(
-                        each.maxLength(), each.medianLength() * Math.exp(each.lengthSigma() * random.nextGaussian())));
+                Math.min(each.maxLength(), each.medianLength() * Math.exp(each.lengthSigma() * random.nextGaussian())));
         int chars = (int) Math.max(16, each.promptChars() * Math.exp(0.3 * random.nextGaussian()));
         String unique = each.profile() + " " + number + " " + Long.toHexString(random.nextLong());
         String message = unique + " [length " + length + "] " + "x".repeat(chars);
@@ -174,13 +173,14 @@
         boolean beforeDeadline = waited.compareTo(planned.loadClass().deadline()) < 0;
         if (unresolved && planned.loadClass().keyed() && retry < MAX_RETRIES && beforeDeadline) {
             tally.repeated();
-            retryScheduler.schedule(() -> send(planned, dueNanos, retry + 1), RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
+            retryScheduler.schedule(
+                    () -> send(planned, dueNanos, retry + 1), RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
             return;
         }
         if (reply.ending() == ClientOutcome.WHOLE) {
             LoadClass each = planned.loadClass();
-            boolean met =
-                    meetsTarget(reply.untilFirst(), each.firstTarget()) && meetsTarget(reply.untilWhole(), each.completionTarget());
+            boolean met = meetsTarget(reply.untilFirst(), each.firstTarget())
+                    && meetsTarget(reply.untilWhole(), each.completionTarget());
             tally.times(reply.untilFirst(), reply.untilWhole(), reply.tokens(), met);
         }
         recordEnd(planned, reply.ending());
--- a/standin/src/main/java/org/tanagerhinge/standin/load/RouterCall.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/load/RouterCall.java
@@ -42,7 +42,8 @@
         this.dueNanos = dueNanos;
     }
 
-    static CompletableFuture<Reply> send(HttpClient client, String router, LoadGenerator.PlannedRequest planned, long dueNanos) {
+    static CompletableFuture<Reply> send(
+            HttpClient client, String router, LoadGenerator.PlannedRequest planned, long dueNanos) {
         RouterCall call = new RouterCall(planned, dueNanos);
         CompletableFuture<Reply> reply = new CompletableFuture<>();
         LoadClass each = planned.loadClass();
@@ -132,7 +133,8 @@
         if (error != null) {
             int code = error.path("code").asInt();
             boolean notRun = error.path("run").asText().equals("not_run");
-            ClientOutcome reported = notRun ? ClientOutcome.NOT_RUN : answer.isEmpty() ? ClientOutcome.UNKNOWN : ClientOutcome.CUT;
+            ClientOutcome reported =
+                    notRun ? ClientOutcome.NOT_RUN : answer.isEmpty() ? ClientOutcome.UNKNOWN : ClientOutcome.CUT;
             return new Reply(reported, code, untilFirst, untilWhole, 0);
         }
         if (result.isFailed()) {
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/GatewayCost.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/GatewayCost.java
@@ -48,7 +48,9 @@
     @Required
     private String process;
 
-    @Option(name = "--requests", description = "Requests after the first " + COLD_REQUESTS + " (" + DEFAULT_WARM_REQUESTS + ")")
+    @Option(
+            name = "--requests",
+            description = "Requests after the first " + COLD_REQUESTS + " (" + DEFAULT_WARM_REQUESTS + ")")
     private int requests = DEFAULT_WARM_REQUESTS;
 
     private final AtomicInteger failed = new AtomicInteger();
@@ -132,7 +134,8 @@
         }
     }
 
-    private static int sendOne(GatewayFixture scene, GatewayFixture.Ports ports, int request) throws InterruptedException {
+    private static int sendOne(GatewayFixture scene, GatewayFixture.Ports ports, int request)
+            throws InterruptedException {
         String path = request % 4 == 3 ? "/plain/" : "/stream/";
         int prefixNumber = request * 31 % SHARED_PREFIXES;
         String parts = "aa:1000,t" + prefixNumber + ":1500,own" + request + ":500";
--- a/standin/src/main/java/org/tanagerhinge/standin/relay/StartupTraining.java
+++ b/standin/src/main/java/org/tanagerhinge/standin/relay/StartupTraining.java
@@ -62,7 +62,8 @@
         }
     }
 
-    private static void send(GatewayFixture scene, GatewayFixture.Ports ports, String when) throws InterruptedException {
+    private static void send(GatewayFixture scene, GatewayFixture.Ports ports, String when)
+            throws InterruptedException {
         for (int i = 0; i < REQUESTS; i++) {
             for (String path : new String[] {"plain", "once", "stream", "none"}) {
                 scene.send(ports, "/" + path + "/" + i, when + "-" + path + "-" + i, "aa:2000,bb:800,cc:200");
