--- a/node/src/main/java/org/tanagerhinge/node/platform/ConfigPoller.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/ConfigPoller.java
@@ -16,8 +16,8 @@
 /**
  * Polls the configuration from the platform's store on its own thread, which alone blocks while the store is slow.
  *
- * <p>An interval that grows with the number of routers keeps the calls of the whole fleet at a fixed rate; nodes forward
- * a change to each other over their links.
+ * <p>An interval that grows with the number of routers keeps the calls of all nodes at a fixed rate; nodes forward a
+ * change to each other over their links.
  */
 public final class ConfigPoller implements AutoCloseable {
     private static final Logger LOG = System.getLogger(ConfigPoller.class.getName());
