--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutyNode.java
@@ -105,7 +105,7 @@
                 name,
                 lease,
                 retakeAtOnce ? Duration.ZERO : lease,
-                simulation.fenced,
+                simulation.fencingEnforced,
                 retakeAtOnce || skipFenceWait ? Duration.ZERO : MAX_CALL_DELAY,
                 Duration.ofMillis(DutySimulation.WINDOW_MILLIS),
                 Duration.ofMillis(DutySimulation.REPORT_GRACE_MILLIS));
@@ -241,21 +241,21 @@
                 .filter(node -> node.name.equals(holder.name()))
                 .findFirst()
                 .orElseThrow();
-        OptionalLong[] acceptedCount = {OptionalLong.empty()};
+        OptionalLong[] committedThrough = {OptionalLong.empty()};
         simulation.schedule(simulation.randomBetween(1, 8), () -> {
             if (canReach(recipient) && recipient.isRunning()) {
-                acceptedCount[0] = recipient.duty.acceptReport(report);
+                committedThrough[0] = recipient.duty.acceptReport(report);
             }
         });
         simulation.schedule(
                 20,
                 () -> runWhenResumed(ownIncarnation, () -> {
-                    if (acceptedCount[0].isPresent() && recipient.canReach(this)) {
+                    if (committedThrough[0].isPresent() && recipient.canReach(this)) {
                         usageReporter.acknowledged(
                                 holder.announcement().fencingToken(),
                                 report,
                                 startedRequests,
-                                acceptedCount[0].getAsLong());
+                                committedThrough[0].getAsLong());
                     } else {
                         usageReporter.failed();
                     }
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/DutySimulation.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/DutySimulation.java
@@ -17,7 +17,7 @@
 
     final SplittableRandom random;
     final DeliberateBug bug;
-    final boolean fenced;
+    final boolean fencingEnforced;
     final DutyStoreModel store = new DutyStoreModel(this);
     final UsageEndpointModel usageEndpoint = new UsageEndpointModel(this);
     final List<DutyNode> nodes = new ArrayList<>();
@@ -29,9 +29,9 @@
     private long nextEventNumber;
     private String failure = "";
 
-    DutySimulation(long seed, boolean fenced, DeliberateBug bug) {
+    DutySimulation(long seed, boolean fencingEnforced, DeliberateBug bug) {
         this.random = new SplittableRandom(seed);
-        this.fenced = fenced;
+        this.fencingEnforced = fencingEnforced;
         this.bug = bug;
     }
 
--- a/harness/src/main/java/org/tanagerhinge/bench/duty/UsageEndpointModel.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/duty/UsageEndpointModel.java
@@ -52,7 +52,7 @@
     }
 
     private DutyClient.ReportResult rejectStaleToken(String node, long token) {
-        if (!simulation.fenced) {
+        if (!simulation.fencingEnforced) {
             simulation.recordFailure(
                     "fencing token " + token + " of " + node + " arrived after newer token " + highestToken);
         }
--- a/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/fleet/ModelGateway.java
@@ -71,8 +71,8 @@
         }
     }
 
-    private static long wholeMillis(double nowMillis) {
-        return (long) nowMillis;
+    private static long floorMillis(double millis) {
+        return (long) millis;
     }
 
     ServerInstance server(String id) {
@@ -85,10 +85,10 @@
         if (call.ended) {
             return;
         }
-        List<ServerInstance> candidates = candidates(triedServers, wholeMillis(nowMillis));
+        List<ServerInstance> candidates = candidates(triedServers, floorMillis(nowMillis));
         PlacementRequest request = new PlacementRequest(fleet.route(call.kind), service, call.prompt, "d");
         call.request = request;
-        Optional<PlacementPolicy.Decision> decision = placement.place(request, candidates, wholeMillis(nowMillis));
+        Optional<PlacementPolicy.Decision> decision = placement.place(request, candidates, floorMillis(nowMillis));
         if (decision.isEmpty() || call.sends >= MAX_SENDS) {
             fleet.rejected(call, 300 + fleet.random().nextInt(300), "no_server");
             return;
@@ -96,7 +96,7 @@
         ServerInstance chosen = decision.get().server();
         if (call.sends == 0
                 && !disabledMechanisms.contains(Mechanism.RANK_GATE)
-                && rankGate.mustYield(rank(call), chosen.instanceId(), wholeMillis(nowMillis))) {
+                && rankGate.mustYield(rank(call), chosen.instanceId(), floorMillis(nowMillis))) {
             fleet.rejected(call, 300 + fleet.random().nextInt(300), "yields");
             return;
         }
@@ -105,10 +105,10 @@
             OptionalLong retryAfterMillis = AdmissionControl.retryAfterMillis(
                     request.route(),
                     decision.get().expectedWaitMillis(),
-                    wholeMillis(call.deadlineMillis - nowMillis),
+                    floorMillis(call.deadlineMillis - nowMillis),
                     fleet.random().nextDouble());
             if (retryAfterMillis.isPresent()) {
-                fleet.rejected(call, retryAfterMillis.getAsLong(), "turned away");
+                fleet.rejected(call, retryAfterMillis.getAsLong(), "expected late");
                 return;
             }
         }
@@ -124,9 +124,9 @@
                         decision.get().step());
         call.sequence = fleet.nextSequence();
         chosen.recordSent(decision.get().tokensToPrefill());
-        placement.recordSent(request, decision.get(), wholeMillis(nowMillis));
+        placement.recordSent(request, decision.get(), floorMillis(nowMillis));
         call.pendingRequest = RankGate.PendingRequest.of(
-                chosen.instanceId(), rank(call), wholeMillis(nowMillis) + call.kind.firstEventTargetMillis());
+                chosen.instanceId(), rank(call), floorMillis(nowMillis) + call.kind.firstEventTargetMillis());
         rankGate.recordSent(call.pendingRequest);
         recordSentPrompt(chosen, call);
         EngineModel engine = fleet.engine(chosen.id());
@@ -134,7 +134,7 @@
         excludedServers.add(chosen.id());
         if (!engine.up()) {
             settle(call, true);
-            chosen.health().recordUnreachable(wholeMillis(nowMillis));
+            chosen.health().recordUnreachable(floorMillis(nowMillis));
             dispatch(call, excludedServers);
         } else if (!engine.offer(call, nowMillis)) {
             fleet.rejectedOffers++;
@@ -182,7 +182,7 @@
         ServerInstance server = call.decision.server();
         server.recordPrefill(call.decision.tokensToPrefill());
         server.health().recordSuccess();
-        placement.recordPrefill(call.request, call.decision, wholeMillis(fleet.nowMillis() - call.sentAtMillis));
+        placement.recordPrefill(call.request, call.decision, floorMillis(fleet.nowMillis() - call.sentAtMillis));
     }
 
     /** Records that a request has left its engine, whatever its outcome. */
@@ -193,11 +193,11 @@
             server.recordPrefill(call.decision.tokensToPrefill());
         }
         server.recordEnd();
-        placement.recordEnd(call.request, call.decision, wholeMillis(fleet.nowMillis()));
+        placement.recordEnd(call.request, call.decision, floorMillis(fleet.nowMillis()));
     }
 
     void report() {
-        peerTable.forgetSilent(wholeMillis(fleet.nowMillis()));
+        peerTable.forgetSilent(floorMillis(fleet.nowMillis()));
         updatePeerTotals();
         sendReport();
         fleet.scheduleAt(fleet.nowMillis() + ReportSchedule.idleIntervalMillis(peerCount()), this::report);
@@ -224,7 +224,7 @@
                 0,
                 intervalMillis,
                 loads,
-                placement.localDemands(wholeMillis(fleet.nowMillis())));
+                placement.localDemands(floorMillis(fleet.nowMillis())));
         List<CachedPrompt> prompts = List.copyOf(cachedPrompts);
         cachedPrompts.clear();
         tokensSinceReport = 0;
@@ -239,7 +239,7 @@
     }
 
     private void receiveReport(PeerReport report, List<CachedPrompt> prompts) {
-        long nowMillis = wholeMillis(fleet.nowMillis());
+        long nowMillis = floorMillis(fleet.nowMillis());
         Map<String, PeerReport.InstanceLoad> previousLoads = peerTable.loads(report.name(), nowMillis);
         if (!peerTable.accept(report, nowMillis)) {
             return;
@@ -257,7 +257,7 @@
         if (disabledMechanisms.contains(Mechanism.PEER_LOAD)) {
             return;
         }
-        long nowMillis = wholeMillis(fleet.nowMillis());
+        long nowMillis = floorMillis(fleet.nowMillis());
         peerLoadUpdater.applyTotals(instanceById.values(), peerTable.loads(nowMillis));
         placement.updatePeerDemands(peerTable.demands(nowMillis));
     }
