--- a/harness/src/main/java/org/tanagerhinge/bench/soak/SimStore.java
+++ b/harness/src/main/java/org/tanagerhinge/bench/soak/SimStore.java
@@ -127,10 +127,10 @@
     }
 
     @Override
-    public Swap swap(String key, String value, long expected, long lease) throws PlatformException {
+    public Swap swap(String key, String value, long expectedVersion, long leaseId) throws PlatformException {
         throwIfDown("swap");
         Versioned current = claimValues.get(key);
-        if ((current == null ? 0 : current.version()) != expected) {
+        if ((current == null ? 0 : current.version()) != expectedVersion) {
             return new Swap.Differs(Optional.ofNullable(current));
         }
         claimValues.put(key, new Versioned(value, ++version));
@@ -156,10 +156,10 @@
     }
 
     @Override
-    public boolean write(String key, String value, long expected) throws PlatformException {
+    public boolean write(String key, String value, long expectedVersion) throws PlatformException {
         throwIfDown("write");
         Versioned current = values.get(key);
-        if ((current == null ? 0 : current.version()) != expected) {
+        if ((current == null ? 0 : current.version()) != expectedVersion) {
             return false;
         }
         if (current != null) {
--- a/node/src/main/java/org/tanagerhinge/node/platform/ConfigStore.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/ConfigStore.java
@@ -55,7 +55,7 @@
     /**
      * Edits the profiles document.
      *
-     * @param base the revision that the edit was made from, which must still be the newest
+     * @param baseRevision the revision that the edit was made from, which must still be the newest
      */
     public Edit editProfiles(long baseRevision, UnaryOperator<ProfilesDocument> change)
             throws PlatformException, InvalidConfigException {
@@ -76,7 +76,7 @@
     /**
      * Edits the servers document.
      *
-     * @param base the revision that the edit was made from, which must still be the newest
+     * @param baseRevision the revision that the edit was made from, which must still be the newest
      */
     public Edit editServers(long baseRevision, UnaryOperator<ServersDocument> change)
             throws PlatformException, InvalidConfigException {
--- a/node/src/main/java/org/tanagerhinge/node/platform/PlatformStore.java
+++ b/node/src/main/java/org/tanagerhinge/node/platform/PlatformStore.java
@@ -18,7 +18,7 @@
     /**
      * Writes a value if the key is still at the expected version.
      *
-     * @param expected the version read before; 0 if the key must not exist
+     * @param expectedVersion the version read before; 0 if the key must not exist
      * @return whether the write took effect
      * @throws PlatformException if no answer came; the write may have taken effect all the same
      */
@@ -36,7 +36,7 @@
     /**
      * Writes a value under a lease if the key is at the expected version; otherwise returns the current value.
      *
-     * @param expected the version read before; 0 if the key must not exist
+     * @param expectedVersion the version read before; 0 if the key must not exist
      * @throws PlatformException if no answer came; the write may have taken effect all the same
      */
     Swap swap(String key, String value, long expectedVersion, long leaseId) throws PlatformException;
